--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -30,7 +30,7 @@
    */
   readonly demand: number
   /** `demand` for each slot, as a mean over the last minutes; from `createMeanUse`. */
-  readonly meanUse: number
+  readonly meanUtilization: number
   /** Time that the new program's calls are expected to run. */
   readonly runMs: number
   /** Expected time from start to finish if nothing waits, pauses included. */
@@ -38,9 +38,9 @@
   /** Mean absolute deviation of the same. */
   readonly expectedMsDeviation: number
   /** Mean over the programs offered lately of weight divided by `runMs`. */
-  readonly usualWorth: number
+  readonly meanValueDensity: number
   /** Time that finished calls lately took, waiting included, as a multiple of the time that they ran. */
-  readonly stretch: number
+  readonly slowdown: number
 }
 
 export type AdmissionReason =
@@ -58,7 +58,7 @@
 export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, worthUse: 0.1 }
 
 /** Silence after which an admitted program no longer counts as demand, until its next call. */
-export const silentMs = 30_000
+export const programIdleTimeoutMs = 30_000
 /** Shortest time to come back that is worth naming. */
 const shortestRetryAfterMs = 1_000
 /** Part of the sustained use from which on the room shrinks. */
@@ -97,7 +97,7 @@
     const retryAfterMs = clampRetryAfter(input.deadline - input.now)
     return { type: 'refuse', retryAfterMs, reason: { type: 'deadlineTooClose', likelihood: alone } }
   }
-  const likelihood = likelihoodOf(input, Math.max(1, input.stretch))
+  const likelihood = likelihoodOf(input, Math.max(1, input.slowdown))
   const use = (input.demand + input.runMs / Math.max(1, input.expectedMs)) / Math.max(1, input.slots)
   const mostUse = roomOf(rule, input) + rule.worthUse * worthOf(input)
   const reason: AdmissionReason = { type: 'likelihood', likelihood, use, mostUse }
@@ -107,7 +107,7 @@
 
 /** Calls for each slot that may run: falls from the peak to the sustained figure as the mean approaches the latter. */
 function roomOf (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): number {
-  const nearness = (input.meanUse / rule.sustainedUse - sustainedFrom) / (1 - sustainedFrom)
+  const nearness = (input.meanUtilization / rule.sustainedUse - sustainedFrom) / (1 - sustainedFrom)
   const part = Math.max(0, Math.min(1, nearness))
   return rule.peakUse - (rule.peakUse - rule.sustainedUse) * part
 }
@@ -115,7 +115,7 @@
 /** Doublings of the usual worth, within bounds. */
 function worthOf (input: AdmissionInput): number {
   const worth = input.weight / Math.max(1, input.runMs)
-  const doublings = Math.log2(worth / input.usualWorth)
+  const doublings = Math.log2(worth / input.meanValueDensity)
   return Math.max(-mostDoublings, Math.min(mostDoublings, doublings))
 }
 
--- a/packages/decide/admit-program/src/mean-use.ts
+++ b/packages/decide/admit-program/src/mean-use.ts
@@ -1,6 +1,6 @@
 /** Mean over the last minutes of the calls for each slot that admitted programs run. */
 
-export interface MeanUse {
+export interface MeanUtilization {
   /** The use was so until now; call it often against the memory, such as with every load report. */
   observe: (use: number, now: number) => void
   mean: () => number
@@ -9,7 +9,7 @@
 /** Time after which an old use counts about a third. */
 export const meanUseMemoryMs = 120_000
 
-export function createMeanUse (now: number, memoryMs = meanUseMemoryMs): MeanUse {
+export function createMeanUtilization (now: number, memoryMs = meanUseMemoryMs): MeanUtilization {
   let mean = 0
   let lastAt = now
 
--- a/packages/decide/admit-program/src/usable-slots.ts
+++ b/packages/decide/admit-program/src/usable-slots.ts
@@ -12,6 +12,6 @@
 /** Part of the memory for running calls; the rest is left for the prefixes of programs that pause. */
 const runningPart = 0.6
 
-export function usableSlots (room: EngineRoom): number {
+export function computeUsableSlots (room: EngineRoom): number {
   return Math.min(room.slots, runningPart * room.cacheTokens / Math.max(1, room.meanCallTokens))
 }
--- a/packages/decide/choose-home/src/home-chooser.ts
+++ b/packages/decide/choose-home/src/home-chooser.ts
@@ -23,11 +23,11 @@
  */
 export interface HomeChooser {
   /** The home of a program among the live sidecars beside model engines of a region; undefined for an empty list. */
-  homeOf: (program: types.ProgramId, hosts: readonly types.HostId[]) => types.HostId | undefined
+  findHome: (program: types.ProgramId, hosts: readonly types.HostId[]) => types.HostId | undefined
   /** The home and the hosts that would be home next, were the ones before them lost. */
   rankHomes: (program: types.ProgramId, hosts: readonly types.HostId[], count?: number) => types.HostId[]
   /** The owner of a task; undefined for an empty list. */
-  ownerOf: (task: OwnedTask, hosts: readonly types.HostId[]) => types.HostId | undefined
+  findOwner: (task: OwnedTask, hosts: readonly types.HostId[]) => types.HostId | undefined
 }
 
 /** The key that a task is hashed by; the prefix keeps kinds of task apart. */
@@ -45,8 +45,8 @@
 export async function createHomeChooser (): Promise<HomeChooser> {
   const ranking = await rendezvous.createRendezvous()
   return {
-    homeOf: (program, hosts) => ranking.best(`program:${program}`, hosts),
+    findHome: (program, hosts) => ranking.findBest(`program:${program}`, hosts),
     rankHomes: (program, hosts, count = defaultRankCount) => ranking.rank(`program:${program}`, hosts, count),
-    ownerOf: (task, hosts) => ranking.best(keyOf(task), hosts)
+    findOwner: (task, hosts) => ranking.findBest(keyOf(task), hosts)
   }
 }
--- a/packages/decide/choose-home/src/rendezvous.ts
+++ b/packages/decide/choose-home/src/rendezvous.ts
@@ -19,7 +19,7 @@
 /** Ranks hosts for a key. A list is hashed once, by identity: pass the same array until the membership changes. */
 export interface Rendezvous {
   /** The host with the highest score, or undefined for an empty list. */
-  best: (key: string, hosts: readonly types.HostId[]) => types.HostId | undefined
+  findBest: (key: string, hosts: readonly types.HostId[]) => types.HostId | undefined
   /** The `count` hosts with the highest scores, highest first. */
   rank: (key: string, hosts: readonly types.HostId[], count: number) => types.HostId[]
 }
@@ -108,5 +108,5 @@
     return highest(scores, count).map((index) => hosts[index]!)
   }
 
-  return { best, rank }
+  return { findBest: best, rank }
 }
--- a/packages/decide/identify-client/src/account-directory.ts
+++ b/packages/decide/identify-client/src/account-directory.ts
@@ -6,9 +6,9 @@
 /** Finds accounts by key and by name. */
 export interface AccountDirectory {
   /** False: the configuration has no accounts, and requests need no key. */
-  readonly inForce: boolean
-  readonly byKey: (key: string) => routeRequest.ClientAccount | undefined
-  readonly byName: (name: types.AccountId) => routeRequest.ClientAccount | undefined
+  readonly isEnabled: boolean
+  readonly findByKey: (key: string) => routeRequest.ClientAccount | undefined
+  readonly findByName: (name: types.AccountId) => routeRequest.ClientAccount | undefined
 }
 
 /** Accounts that can't be told apart, or that can't be counted. Names the field; never a key. */
@@ -31,9 +31,9 @@
     }
   }
   return {
-    inForce: accounts !== undefined,
-    byKey: (key) => byDigest.get(digestOf(key)),
-    byName: (name) => byName.get(name)
+    isEnabled: accounts !== undefined,
+    findByKey: (key) => byDigest.get(digestOf(key)),
+    findByName: (name) => byName.get(name)
   }
 }
 
--- a/packages/decide/identify-client/src/identify.ts
+++ b/packages/decide/identify-client/src/identify.ts
@@ -24,16 +24,16 @@
   | { readonly type: 'unknownKey' }
 
 /** Decides who asks. On a public route a key is not needed, but one that is known counts. */
-export function identify (directory: accountDirectory.AccountDirectory, route: Pick<routeRequest.Route, 'isPublic'>, presented: PresentedKey): Identified {
-  if (!directory.inForce) return { type: 'caller', caller: { type: 'anyone' } }
-  const account = presented.type === 'key' ? directory.byKey(presented.key) : undefined
+export function identifyCaller (directory: accountDirectory.AccountDirectory, route: Pick<routeRequest.Route, 'isPublic'>, presented: PresentedKey): Identified {
+  if (!directory.isEnabled) return { type: 'caller', caller: { type: 'anyone' } }
+  const account = presented.type === 'key' ? directory.findByKey(presented.key) : undefined
   if (account !== undefined) return { type: 'caller', caller: { type: 'account', account: account.name } }
   if (route.isPublic) return { type: 'caller', caller: { type: 'anonymous' } }
   return { type: 'unknownKey' }
 }
 
 /** The account of a caller, if it has one. */
-export function accountOf (caller: Caller): types.AccountId | undefined {
+export function getAccount (caller: Caller): types.AccountId | undefined {
   return caller.type === 'account' ? caller.account : undefined
 }
 
@@ -41,7 +41,7 @@
  * The name under which the system keeps a program: the same id under two accounts is two programs. No id that comes in a
  * header and no account's name holds a line feed.
  */
-export function scopedProgram (caller: Caller, program: types.ProgramId): types.ProgramId {
-  const account = accountOf(caller)
+export function scopeProgramId (caller: Caller, program: types.ProgramId): types.ProgramId {
+  const account = getAccount(caller)
   return account === undefined ? program : `${account}\n${program}` as types.ProgramId
 }
--- a/packages/decide/limit-client/src/client-limit.ts
+++ b/packages/decide/limit-client/src/client-limit.ts
@@ -15,7 +15,7 @@
 const startBurstSeconds = 10
 
 /** Every limit lets at least one request through at once. */
-export function clientLimitOf (configured: ConfiguredLimits, name: types.LimitName): shareOwner.ClientLimit {
+export function getClientLimit (configured: ConfiguredLimits, name: types.LimitName): shareOwner.ClientLimit {
   switch (name) {
     case 'calls': return limitOf(configured.callsPerSecond, callBurstSeconds)
     case 'starts': return limitOf(configured.startsPerMinute / secondsPerMinute, startBurstSeconds)
--- a/packages/decide/limit-client/src/share-holder.ts
+++ b/packages/decide/limit-client/src/share-holder.ts
@@ -46,7 +46,7 @@
 }
 
 /** What to ask the owner for now. */
-export function wantedShare (holder: ShareHolder, now: number): Pick<shareOwner.ShareRequest, 'wantedPerSecond' | 'wantedCredit'> {
+export function computeShareRequest (holder: ShareHolder, now: number): Pick<shareOwner.ShareRequest, 'wantedPerSecond' | 'wantedCredit'> {
   const seconds = Math.max(1, (now - holder.askedSince) / 1000)
   const filled = fill(holder, now)
   return { wantedPerSecond: holder.asked / seconds, wantedCredit: Math.max(0, holder.asked - filled.level) }
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -47,7 +47,7 @@
   noteLeaving: (host: types.HostId, now: number) => void
   /** Puts the changes of a batch interval into force; true if the view changed. Call at least once every `batchMs`. */
   tick: (now: number) => boolean
-  view: () => MembershipView
+  getView: () => MembershipView
   /** Suspect hosts to send a small request now, at most `probesPerBatch`, with a growing pause for each host. */
   takeProbes: (now: number) => types.HostId[]
   /** When the last host list was taken; undefined before the first. */
@@ -185,7 +185,7 @@
     noteFailure,
     noteLeaving,
     tick,
-    view: () => view,
+    getView: () => view,
     takeProbes: (now) => probes.takeDue(unsettled, settings, now).map((member) => member.entry.host),
     listTakenAt: () => takenAt
   }
--- a/packages/decide/membership/src/plan-reports.ts
+++ b/packages/decide/membership/src/plan-reports.ts
@@ -53,7 +53,7 @@
 }
 
 function rootsOf (options: PlanReportsOptions): types.HostId[] {
-  return options.others.flatMap((zone) => options.ranking.best(treeKey(zone.availabilityZone), zone.hosts) ?? [])
+  return options.others.flatMap((zone) => options.ranking.findBest(treeKey(zone.availabilityZone), zone.hosts) ?? [])
 }
 
 /** Works out the plan; call it again when the hosts of the region change. */
--- a/packages/decide/meter-account/src/account-belief.ts
+++ b/packages/decide/meter-account/src/account-belief.ts
@@ -7,21 +7,21 @@
 import type * as meterBook from './meter-book.js'
 
 /** Plain state; replaced, never changed. */
-export interface AccountBelief {
+export interface AccountEstimate {
   /** As the owner last said, and the term in which it did. */
   readonly confirmed: accountMeter.AccountMeter
   readonly term: number
   /** The same, less what was let through here since. */
   readonly meter: accountMeter.AccountMeter
   /** Let through here and not reported yet. */
-  readonly unreported: accountMeter.PartCounts
+  readonly unreported: accountMeter.RequestCounts
 }
 
 /** Requests go unasked while this share of the capacity is left: what all hosts together send before they hear of one another. */
 const unaskedShare = 0.35
 
 /** The belief after an answer of the owner; since: what was let through after the report that it answers. */
-export function believe (limit: accountMeter.MeterLimit, answer: meterBook.MeterAnswer, since: accountMeter.PartCounts, now: number): AccountBelief {
+export function createEstimate (limit: accountMeter.MeterLimit, answer: meterBook.MeterAnswer, since: accountMeter.RequestCounts, now: number): AccountEstimate {
   const confirmed = accountMeter.createMeter(limit, answer.state, now)
   return { confirmed, term: answer.term, meter: accountMeter.spend(confirmed, since), unreported: since }
 }
@@ -30,44 +30,44 @@
  * Whether a request may be sent without asking. The first of a program never is: it stands for many, and hosts that let
  * programs in at the same moment would add up.
  */
-export function mayGoUnasked (belief: AccountBelief, part: accountMeter.RequestPart): boolean {
+export function canSendUnasked (belief: AccountEstimate, part: accountMeter.RequestPosition): boolean {
   if (part === 'first') return false
   const { meter } = belief
-  return accountMeter.roomFor(meter, part) >= unaskedShare * accountMeter.capacityOf(meter.limit)
+  return accountMeter.computeHeadroom(meter, part) >= unaskedShare * accountMeter.computeCapacity(meter.limit)
 }
 
 /** Counts a request that was let through here, or takes one back that did not run (`by` -1). */
-export function count (belief: AccountBelief, part: accountMeter.RequestPart, by: 1 | -1): AccountBelief {
+export function countRequest (belief: AccountEstimate, part: accountMeter.RequestPosition, by: 1 | -1): AccountEstimate {
   const counts = { ...accountMeter.noRequests, [part]: by }
-  return { ...belief, meter: accountMeter.spend(belief.meter, counts), unreported: sum(belief.unreported, counts) }
+  return { ...belief, meter: accountMeter.spend(belief.meter, counts), unreported: addCounts(belief.unreported, counts) }
 }
 
 /** What the owner would have said at a time, in monotonic ms, had nobody sent anything since. */
-export function confirmedState (belief: AccountBelief, now: number): accountMeter.MeterState {
-  return accountMeter.stateOf(accountMeter.fillMeter(belief.confirmed, now))
+export function computeConfirmedState (belief: AccountEstimate, now: number): accountMeter.MeterState {
+  return accountMeter.stateOf(accountMeter.refillMeter(belief.confirmed, now))
 }
 
 /** The meter of a host that counts by itself: its share of the limit, and of what was left when the owner was last heard, monotonic ms. */
-export function createShare (limit: accountMeter.MeterLimit, belief: AccountBelief | undefined, hosts: number, heardAt: number, now: number): accountMeter.AccountMeter {
-  const own = shareOf(limit, hosts)
-  if (belief === undefined) return accountMeter.createMeter(own, accountMeter.plainState(accountMeter.unknownLevel(own)), now)
-  const state = confirmedState(belief, heardAt)
+export function createFallbackMeter (limit: accountMeter.MeterLimit, belief: AccountEstimate | undefined, hosts: number, heardAt: number, now: number): accountMeter.AccountMeter {
+  const own = divideLimit(limit, hosts)
+  if (belief === undefined) return accountMeter.createMeter(own, accountMeter.createState(accountMeter.unknownLevel(own)), now)
+  const state = computeConfirmedState(belief, heardAt)
   const part = 1 / Math.max(1, hosts)
   return accountMeter.createMeter(own, { ...state, level: state.level * part, uncommitted: state.uncommitted * part }, now)
 }
 
 /** The part of a limit that one of so many hosts may use by itself while nobody counts for all: together they stay within it. */
-export function shareOf (limit: accountMeter.MeterLimit, hosts: number): accountMeter.MeterLimit {
+export function divideLimit (limit: accountMeter.MeterLimit, hosts: number): accountMeter.MeterLimit {
   const part = 1 / Math.max(1, hosts)
   return { requestsPerSecond: limit.requestsPerSecond * part, burst: limit.burst * part, slack: limit.slack * part }
 }
 
 /** Both together. */
-export function sum (a: accountMeter.PartCounts, b: accountMeter.PartCounts): accountMeter.PartCounts {
+export function addCounts (a: accountMeter.RequestCounts, b: accountMeter.RequestCounts): accountMeter.RequestCounts {
   return { first: a.first + b.first, further: a.further + b.further }
 }
 
 /** Whether there is nothing to report. */
-export function isNone (counts: accountMeter.PartCounts): boolean {
+export function isZero (counts: accountMeter.RequestCounts): boolean {
   return counts.first === 0 && counts.further === 0
 }
--- a/packages/decide/meter-account/src/account-meter.ts
+++ b/packages/decide/meter-account/src/account-meter.ts
@@ -15,14 +15,14 @@
 }
 
 /** Where a request stands in its program. */
-export type RequestPart =
+export type RequestPosition =
   /** The first of a program: many more follow if it is let in. */
   | 'first'
   /** Anything else: refusing it may cost a program that is nearly done. */
   | 'further'
 
 /** Requests by their part. */
-export type PartCounts = Readonly<Record<RequestPart, number>>
+export type RequestCounts = Readonly<Record<RequestPosition, number>>
 
 /** What is known of an account at one time, as hosts tell one another. */
 export interface MeterState {
@@ -33,7 +33,7 @@
   /** Programs that began so lately that most of their requests are still to come: they say nothing yet of what a program takes. */
   readonly young: number
   /** Lately counted programs and their requests: what a program takes in all. */
-  readonly recent: PartCounts
+  readonly recent: RequestCounts
 }
 
 /** Plain state; replaced, never changed. */
@@ -44,10 +44,10 @@
 }
 
 /** No requests. */
-export const noRequests: PartCounts = { first: 0, further: 0 }
+export const noRequests: RequestCounts = { first: 0, further: 0 }
 
 /** One request. */
-export function oneOf (part: RequestPart): PartCounts {
+export function createSingleCount (part: RequestPosition): RequestCounts {
   return { ...noRequests, [part]: 1 }
 }
 
@@ -68,18 +68,18 @@
 const mostWaitMs = 5_000
 
 /** The most that a quiet account may send at once. */
-export function capacityOf (limit: MeterLimit): number {
+export function computeCapacity (limit: MeterLimit): number {
   return Math.max(1, limit.burst + limit.slack * burstSlack)
 }
 
 /** A meter of which no more is known than how many requests are left. */
-export function plainState (level: number): MeterState {
+export function createState (level: number): MeterState {
   return { level, uncommitted: level, young: 0, recent: noRequests }
 }
 
 /** A meter that goes on from what is known; now: monotonic ms. */
 export function createMeter (limit: MeterLimit, { level, uncommitted, young, recent }: MeterState, now: number): AccountMeter {
-  return withLimit({ limit, level, uncommitted, young, recent, at: now }, limit)
+  return applyLimit({ limit, level, uncommitted, young, recent, at: now }, limit)
 }
 
 /** What hosts and owners tell one another of a meter. */
@@ -89,19 +89,19 @@
 
 /** The level that an account starts with where nobody knows what it has sent: a second's worth, as a restart takes longer. */
 export function unknownLevel (limit: MeterLimit): number {
-  return Math.min(capacityOf(limit), limit.requestsPerSecond + limit.slack * burstSlack)
+  return Math.min(computeCapacity(limit), limit.requestsPerSecond + limit.slack * burstSlack)
 }
 
 /** Another limit is in force. */
-export function withLimit (meter: AccountMeter, limit: MeterLimit): AccountMeter {
-  const capacity = capacityOf(limit)
+export function applyLimit (meter: AccountMeter, limit: MeterLimit): AccountMeter {
+  const capacity = computeCapacity(limit)
   return { ...meter, limit, level: Math.min(meter.level, capacity), uncommitted: Math.min(meter.uncommitted, capacity) }
 }
 
 /** Adds what has become free since. */
-export function fillMeter (meter: AccountMeter, now: number): AccountMeter {
+export function refillMeter (meter: AccountMeter, now: number): AccountMeter {
   const { limit, level, uncommitted, young, recent } = meter
-  const capacity = capacityOf(limit)
+  const capacity = computeCapacity(limit)
   const elapsedMs = Math.max(0, now - meter.at)
   const freed = limit.requestsPerSecond * elapsedMs / 1_000
   const kept = Math.exp(-elapsedMs / recentMs)
@@ -117,7 +117,7 @@
 }
 
 /** Counts requests that were let through. Negative counts take some back that did not run. */
-export function spend (meter: AccountMeter, counts: PartCounts): AccountMeter {
+export function spend (meter: AccountMeter, counts: RequestCounts): AccountMeter {
   const { first, further } = counts
   return {
     ...meter,
@@ -138,14 +138,14 @@
  * How many requests a part has to spare, a filled meter taken for granted: at 0 or above the next one may be sent. The
  * last program that begins may be charged beyond what is left, so that small accounts get theirs as well.
  */
-export function roomFor (meter: AccountMeter, part: RequestPart): number {
+export function computeHeadroom (meter: AccountMeter, part: RequestPosition): number {
   const { limit, level, uncommitted } = meter
   return part === 'further' ? level - 1 + limit.slack * debtSlack : Math.min(level - 1, uncommitted)
 }
 
 /** When a part that has no room now will have some if nobody else asks, in ms. */
-export function waitFor (meter: AccountMeter, part: RequestPart): number {
+export function computeWaitMs (meter: AccountMeter, part: RequestPosition): number {
   const { requestsPerSecond } = meter.limit
-  const waitMs = requestsPerSecond > 0 ? -roomFor(meter, part) / requestsPerSecond * 1_000 : mostWaitMs
+  const waitMs = requestsPerSecond > 0 ? -computeHeadroom(meter, part) / requestsPerSecond * 1_000 : mostWaitMs
   return Math.round(Math.min(mostWaitMs, Math.max(leastWaitMs, waitMs)))
 }
--- a/packages/decide/meter-account/src/meter-book.ts
+++ b/packages/decide/meter-account/src/meter-book.ts
@@ -7,14 +7,14 @@
   readonly account: types.AccountId
   readonly limit: accountMeter.MeterLimit
   /** Let through since its last report. */
-  readonly spent: accountMeter.PartCounts
+  readonly spent: accountMeter.RequestCounts
   /** Wait at the host for a yes or a no. */
-  readonly asked: accountMeter.PartCounts
-  readonly believed?: Believed | undefined
+  readonly asked: accountMeter.RequestCounts
+  readonly believed?: ConfirmedState | undefined
 }
 
 /** What a host was told last, without what it let through since: all that an owner has who did not count before. */
-export interface Believed {
+export interface ConfirmedState {
   readonly state: accountMeter.MeterState
   /** The term of ownership in which it was said. */
   readonly term: number
@@ -26,9 +26,9 @@
   readonly term: number
   readonly state: accountMeter.MeterState
   /** So many of those asked for may be sent; they are counted already. */
-  readonly granted: accountMeter.PartCounts
+  readonly granted: accountMeter.RequestCounts
   /** When to come back with the others, in ms. */
-  readonly waitMs: accountMeter.PartCounts
+  readonly waitMs: accountMeter.RequestCounts
 }
 
 interface Entry {
@@ -45,7 +45,7 @@
 const idleMs = 60_000
 
 /** The meters of all accounts that this process counts. */
-export class MeterBook {
+export class MeterRegistry {
   private readonly entries = new Map<types.AccountId, Entry>()
 
   get size (): number {
@@ -53,19 +53,19 @@
   }
 
   /** Settles one report; term: of this process's ownership of the account; version: of the reporter's configuration; now: monotonic ms. */
-  settle (report: MeterReport, term: number, version: number, now: number): MeterAnswer {
+  applyReport (report: MeterReport, term: number, version: number, now: number): MeterAnswer {
     const entry = this.current(report, term, version, now)
-    let meter = accountMeter.spend(accountMeter.fillMeter(entry.meter, now), report.spent)
+    let meter = accountMeter.spend(accountMeter.refillMeter(entry.meter, now), report.spent)
     const granted = { first: 0, further: 0 }
     // Programs under way go first.
     for (const part of ['further', 'first'] as const) {
-      while (granted[part] < report.asked[part] && accountMeter.roomFor(meter, part) >= 0) {
-        meter = accountMeter.spend(meter, accountMeter.oneOf(part))
+      while (granted[part] < report.asked[part] && accountMeter.computeHeadroom(meter, part) >= 0) {
+        meter = accountMeter.spend(meter, accountMeter.createSingleCount(part))
         granted[part] += 1
       }
     }
     this.entries.set(report.account, { ...entry, meter })
-    const waitMs = { first: accountMeter.waitFor(meter, 'first'), further: accountMeter.waitFor(meter, 'further') }
+    const waitMs = { first: accountMeter.computeWaitMs(meter, 'first'), further: accountMeter.computeWaitMs(meter, 'further') }
     return { account: report.account, term, state: accountMeter.stateOf(meter), granted, waitMs }
   }
 
@@ -86,11 +86,11 @@
 }
 
 function limitTo (entry: Entry, limit: accountMeter.MeterLimit, version: number): Entry {
-  return { ...entry, meter: accountMeter.withLimit(entry.meter, limit), begun: accountMeter.withLimit(entry.begun, limit), version }
+  return { ...entry, meter: accountMeter.applyLimit(entry.meter, limit), begun: accountMeter.applyLimit(entry.begun, limit), version }
 }
 
 function begin ({ limit, believed }: MeterReport, term: number, version: number, now: number): Entry {
-  const state = believed?.state ?? accountMeter.plainState(accountMeter.unknownLevel(limit))
+  const state = believed?.state ?? accountMeter.createState(accountMeter.unknownLevel(limit))
   const begun = accountMeter.createMeter(limit, state, now)
   return { meter: begun, begun, term, version }
 }
@@ -101,7 +101,7 @@
  */
 function correct (entry: Entry, { believed }: MeterReport, now: number): Entry {
   if (believed === undefined || believed.term === entry.term) return entry
-  const begun = accountMeter.fillMeter(entry.begun, now)
+  const begun = accountMeter.refillMeter(entry.begun, now)
   const level = Math.min(begun.level, believed.state.level)
   const uncommitted = Math.min(begun.uncommitted, believed.state.uncommitted)
   const { meter } = entry
--- a/packages/decide/order-queue/src/learn-remaining.ts
+++ b/packages/decide/order-queue/src/learn-remaining.ts
@@ -46,7 +46,7 @@
   /** Learns from a program that ran to its end; its turns in order. */
   observe: (kind: types.KindId, turns: readonly TurnWork[]) => void
   /** What a program of this kind has before it after so many turns; 0 asks for the whole. */
-  expect: (kind: types.KindId, turns: number) => RemainingWork
+  estimate: (kind: types.KindId, turns: number) => RemainingWork
 }
 
 interface Mean {
@@ -108,7 +108,7 @@
     return { ...settings.prior, msDeviation: settings.prior.ms / 2, samples: 0 }
   }
 
-  return { observe, expect }
+  return { observe, estimate: expect }
 }
 
 function bucketOf (turns: number): number {
--- a/packages/decide/place-call/src/candidate.ts
+++ b/packages/decide/place-call/src/candidate.ts
@@ -47,7 +47,7 @@
   /** Moving a cached token from one engine to another; undefined where engines cannot import. */
   readonly importMsPerToken: number | undefined
   /** Time that a call usually runs, for what waits before it. */
-  readonly usualCallMs: number
+  readonly typicalCallMs: number
 }
 
 export interface PlaceInput {
@@ -103,7 +103,7 @@
   decodeMsPerToken: 20,
   slowdownPerStream: 0.06,
   importMsPerToken: undefined,
-  usualCallMs: 3_000
+  typicalCallMs: 3_000
 }
 
 export const defaultPlaceRule: PlaceRule = { type: 'homeFirst', costs: defaultPlaceCosts, spillMarginMs: 1_500 }
--- a/packages/decide/place-call/src/own-calls.ts
+++ b/packages/decide/place-call/src/own-calls.ts
@@ -1,12 +1,12 @@
 /** Counts a process's own calls in flight by upstream, now and at the time of a late report. */
 import type * as types from '@eelgrasswind/types'
 
-export interface OwnCalls {
+export interface InFlightHistory {
   begin: (upstream: types.UpstreamId, now: number) => void
   end: (upstream: types.UpstreamId, now: number) => void
-  inFlight: (upstream: types.UpstreamId) => number
+  getInFlight: (upstream: types.UpstreamId) => number
   /** How many were in flight at a past time, as far back as `memoryMs`. */
-  inFlightAt: (upstream: types.UpstreamId, at: number) => number
+  getInFlightAt: (upstream: types.UpstreamId, at: number) => number
 }
 
 interface Change {
@@ -17,7 +17,7 @@
 /** How far back counts are kept: longer than load reports are late. */
 export const ownCallsMemoryMs = 30_000
 
-export function createOwnCalls (memoryMs = ownCallsMemoryMs): OwnCalls {
+export function createInFlightHistory (memoryMs = ownCallsMemoryMs): InFlightHistory {
   const changes = new Map<types.UpstreamId, Change[]>()
 
   function change (upstream: types.UpstreamId, by: number, now: number): void {
@@ -40,8 +40,8 @@
   return {
     begin: (upstream, now) => change(upstream, 1, now),
     end: (upstream, now) => change(upstream, -1, now),
-    inFlight,
-    inFlightAt
+    getInFlight: inFlight,
+    getInFlightAt: inFlightAt
   }
 }
 
--- a/packages/decide/place-call/src/price.ts
+++ b/packages/decide/place-call/src/price.ts
@@ -26,7 +26,7 @@
 
 function priceOne (costs: candidates.PlaceCosts, input: candidates.PlaceInput, candidate: candidates.Candidate, richest: candidates.Candidate | undefined): Priced {
   const load = believedLoad(candidate)
-  const waitMs = Math.max(0, load + 1 - candidate.slots) / candidate.slots * costs.usualCallMs
+  const waitMs = Math.max(0, load + 1 - candidate.slots) / candidate.slots * costs.typicalCallMs
   const streams = Math.min(load, candidate.slots - 1)
   const decodeMs = input.expectedTokens * costs.decodeMsPerToken * (1 + costs.slowdownPerStream * streams)
   const prefix = prefixCost(costs, input, candidate, richest)
--- a/packages/decide/place-call/src/slow-upstreams.ts
+++ b/packages/decide/place-call/src/slow-upstreams.ts
@@ -15,11 +15,11 @@
 
 export const defaultSlowSettings: SlowSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
 
-export interface SlowUpstreams {
+export interface SlowUpstreamDetector {
   /** Tokens that came on one stream in a time, both since the last observation of it; no token counts as a part of one. */
   observe: (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number) => void
   /** Time for each token as a multiple of what is usual among the others; 1 when it is not out of the ordinary. */
-  factor: (upstream: types.UpstreamId, now: number) => number
+  getSlowFactor: (upstream: types.UpstreamId, now: number) => number
   forget: (upstream: types.UpstreamId) => void
 }
 
@@ -28,7 +28,7 @@
   at: number
 }
 
-export function createSlowUpstreams (settings: SlowSettings = defaultSlowSettings): SlowUpstreams {
+export function createSlowUpstreamDetector (settings: SlowSettings = defaultSlowSettings): SlowUpstreamDetector {
   const seen = new Map<types.UpstreamId, Seen>()
 
   function observe (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number): void {
@@ -60,5 +60,5 @@
     return others[Math.floor(others.length / 2)]
   }
 
-  return { observe, factor, forget: (upstream) => { seen.delete(upstream) } }
+  return { observe, getSlowFactor: factor, forget: (upstream) => { seen.delete(upstream) } }
 }
--- a/packages/decide/retain-prefix/src/eviction-age.ts
+++ b/packages/decide/retain-prefix/src/eviction-age.ts
@@ -1,10 +1,10 @@
 /** Learns how long an unheld prefix survives in an engine's cache, from the evictions that it reports. */
 
-export interface EvictionAge {
+export interface EvictionAgeTracker {
   /** A prefix was evicted so long after its last use. */
   observe: (ageMs: number, now: number) => void
   /** Time that an unheld prefix survives; infinite while nothing is being evicted. */
-  survivalMs: (now: number) => number
+  getSurvivalMs: (now: number) => number
 }
 
 /** Weight of the newest eviction. */
@@ -12,7 +12,7 @@
 /** Without evictions for so long, the cache counts as large enough. */
 const quietMs = 60_000
 
-export function createEvictionAge (): EvictionAge {
+export function createEvictionAgeTracker (): EvictionAgeTracker {
   let mean = 0
   let lastAt = -Infinity
 
@@ -21,5 +21,5 @@
     lastAt = now
   }
 
-  return { observe, survivalMs: (now) => now - lastAt > quietMs ? Infinity : mean }
+  return { observe, getSurvivalMs: (now) => now - lastAt > quietMs ? Infinity : mean }
 }
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -21,7 +21,7 @@
 
 export interface PauseLearner {
   observe: (kind: types.KindId, end: PauseEnd) => void
-  stats: (kind: types.KindId) => PauseStats
+  getStats: (kind: types.KindId) => PauseStats
 }
 
 /** Counts by bucket. */
@@ -69,7 +69,7 @@
     }
   }
 
-  return { observe, stats }
+  return { observe, getStats: stats }
 }
 
 function fade (seen: Seen): void {
--- a/packages/decide/track-upstreams/src/choose-upstream.ts
+++ b/packages/decide/track-upstreams/src/choose-upstream.ts
@@ -8,7 +8,7 @@
   /** The upstream that ran the turn before. */
   readonly holder: types.UpstreamId | undefined
   /** The first part of the prompt, which programs share. */
-  readonly sharedPart: string | undefined
+  readonly sharedPrefix: string | undefined
 }
 
 /** What the choice depends on. */
@@ -53,7 +53,7 @@
  * process would otherwise come back to each of them only after it has closed its connection.
  */
 function chooseForCall (pool: readonly list.Upstream[], input: ChooseInput): list.Upstream | undefined {
-  const connected = pool.filter((upstream) => input.now - upstream.heardAt < connectedMs)
+  const connected = pool.filter((upstream) => input.now - upstream.lastActivityAt < connectedMs)
   const chosen = leastUsed(drawSome(connected, input.random), input)
   if (chosen !== undefined && load(chosen, input) < roomyLoad) return chosen
   return leastUsed(drawSome(pool, input.random), input)
@@ -68,7 +68,7 @@
   const holder = pool.find((upstream) => upstream.listed.id === affinity.holder)
   const others = pool.filter((upstream) => upstream !== holder)
   if (holder !== undefined && load(holder, input) <= meanLoad(others, input) * boundFactor + holderShare) return holder
-  const { sharedPart } = affinity
+  const { sharedPrefix: sharedPart } = affinity
   if (sharedPart === undefined) return leastUsed(drawSome(pool, input.random), input)
   const bound = meanLoad(pool, input) * boundFactor
   for (const upstream of rankFor(sharedPart, pool)) {
@@ -78,7 +78,7 @@
 }
 
 /** How full a service is: requests of all processes at its sound upstreams, as a share of their slots. */
-export function serviceLoad (input: Pick<ChooseInput, 'candidates' | 'othersRunning' | 'now'>): number {
+export function computeServiceLoad (input: Pick<ChooseInput, 'candidates' | 'othersRunning' | 'now'>): number {
   const usable = input.candidates.filter((upstream) => !upstream.listed.leaving)
   return meanLoad(soundest(usable, input.now), input)
 }
--- a/packages/decide/track-upstreams/src/find-outliers.ts
+++ b/packages/decide/track-upstreams/src/find-outliers.ts
@@ -77,14 +77,14 @@
 }
 
 /** Counts marks and requests and decides who is ejected. Times are monotonic ms. */
-export class OutlierFinder {
+export class OutlierDetector {
   private readonly suspects = new Map<types.UpstreamId, Suspect>()
   private readonly services = new Map<types.ServiceId, ServiceCounts>()
 
   constructor (private readonly upstreams: list.UpstreamList) {}
 
   /** This process has sent a request to the service. */
-  noteSent (service: types.ServiceId, now: number): void {
+  countRequest (service: types.ServiceId, now: number): void {
     this.countsOf(service).sent.add(1, now)
   }
 
@@ -92,7 +92,7 @@
    * Counts marks of this or another process. Processes: how many send to the service, this one included; they are
    * taken to send as much as this one does. Returns the ejection that this brings about, if any.
    */
-  note (report: MarkReport, processes: number, now: number): Ejection | undefined {
+  applyReport (report: MarkReport, processes: number, now: number): Ejection | undefined {
     const upstream = this.upstreams.get(report.upstream)
     if (upstream === undefined) return undefined
     const { service } = upstream.listed
@@ -102,7 +102,7 @@
     counts.marks[report.mark].add(report.count, now)
     if (upstream.ejectedUntil > now) return undefined
     const marks = suspect.marks[report.mark].get(now)
-    const upstreams = Math.max(1, this.upstreams.ofService(service).length)
+    const upstreams = Math.max(1, this.upstreams.getByService(service).length)
     // What one upstream of the service gets, and the marks it would bear if it were like all others.
     const requests = counts.sent.get(now) * processes / upstreams
     const usualMarks = counts.marks[report.mark].get(now) / upstreams
@@ -113,7 +113,7 @@
   }
 
   private mayEject (service: types.ServiceId, now: number): boolean {
-    const all = this.upstreams.ofService(service)
+    const all = this.upstreams.getByService(service)
     const ejected = all.filter((upstream) => upstream.ejectedUntil > now).length
     return ejected + 1 <= all.length * mostEjectedShare
   }
--- a/packages/decide/track-upstreams/src/peer-loads.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.ts
@@ -21,7 +21,7 @@
   private readonly sums = new Map<types.UpstreamId, number>()
 
   /** Takes the report of one peer in place of its former one. Monotonic ms. */
-  report (peer: string, counts: RunningCounts, now: number): void {
+  applyReport (peer: string, counts: RunningCounts, now: number): void {
     const former = this.reports.get(peer)
     if (former !== undefined) this.add(former.counts, -1)
     this.add(counts, 1)
@@ -47,7 +47,7 @@
   }
 
   /** Requests that other processes have running there. */
-  running (upstream: types.UpstreamId): number {
+  getRunning (upstream: types.UpstreamId): number {
     return this.sums.get(upstream) ?? 0
   }
 
--- a/packages/decide/track-upstreams/src/upstream-list.ts
+++ b/packages/decide/track-upstreams/src/upstream-list.ts
@@ -24,7 +24,7 @@
   /** Nothing is sent there before this time unless there is no other, monotonic ms. */
   avoidUntil: number
   /** When anything last came from it, monotonic ms. */
-  heardAt: number
+  lastActivityAt: number
   /** It fails or lags far more often than the rest of its service: avoided until this time, monotonic ms. */
   ejectedUntil: number
   /** It said that it was full; believed until this time, monotonic ms. */
@@ -53,11 +53,11 @@
   }
 
   /** The upstreams of a service, leaving ones included. */
-  ofService (service: types.ServiceId): readonly Upstream[] {
+  getByService (service: types.ServiceId): readonly Upstream[] {
     return this.services.get(service) ?? []
   }
 
-  all (): Iterable<Upstream> {
+  getAll (): Iterable<Upstream> {
     return this.upstreams.values()
   }
 
@@ -68,9 +68,9 @@
       return
     }
     this.remove(listed.id)
-    const upstream: Upstream = { listed, running: 0, failures: 0, avoidUntil: 0, heardAt: 0, ejectedUntil: 0, fullUntil: 0 }
+    const upstream: Upstream = { listed, running: 0, failures: 0, avoidUntil: 0, lastActivityAt: 0, ejectedUntil: 0, fullUntil: 0 }
     this.upstreams.set(listed.id, upstream)
-    this.services.set(listed.service, [...this.ofService(listed.service), upstream])
+    this.services.set(listed.service, [...this.getByService(listed.service), upstream])
   }
 
   remove (id: types.UpstreamId): void {
@@ -78,7 +78,7 @@
     if (known === undefined) return
     this.upstreams.delete(id)
     const service = known.listed.service
-    this.services.set(service, this.ofService(service).filter((upstream) => upstream !== known))
+    this.services.set(service, this.getByService(service).filter((upstream) => upstream !== known))
   }
 }
 
@@ -90,18 +90,18 @@
 }
 
 /** Nothing at all came from the upstream for so long that its host is likely gone. */
-export function noteSilent (upstream: Upstream, now: number): void {
+export function noteUnresponsive (upstream: Upstream, now: number): void {
   upstream.failures += 1
   upstream.avoidUntil = now + silentAvoidMs
 }
 
 /** Something came from the upstream. */
-export function noteHeard (upstream: Upstream, now: number): void {
-  upstream.heardAt = now
+export function noteActivity (upstream: Upstream, now: number): void {
+  upstream.lastActivityAt = now
 }
 
 /** The upstream refused since its queue is full. */
-export function noteFull (upstream: Upstream, now: number): void {
+export function noteQueueFull (upstream: Upstream, now: number): void {
   upstream.fullUntil = now + fullMs
 }
 
--- a/packages/decide/track-upstreams/src/usual-times.ts
+++ b/packages/decide/track-upstreams/src/usual-times.ts
@@ -8,11 +8,11 @@
 const leastSlowMs = 120
 
 /** Running means by name of the route. */
-export class UsualTimes {
+export class TypicalLatencies {
   private readonly means = new Map<string, number>()
 
   /** Takes the time of one answer in; returns whether it was slow against the mean before. Initial: the time to begin with. All in ms. */
-  note (route: string, tookMs: number, initialMs: number): boolean {
+  observe (route: string, tookMs: number, initialMs: number): boolean {
     const mean = this.means.get(route) ?? initialMs
     const limit = mean * slowFactor
     // One answer moves the mean by no more than what still counts as usual.
--- a/packages/operate/cli/src/platform/config-stream.ts
+++ b/packages/operate/cli/src/platform/config-stream.ts
@@ -25,7 +25,7 @@
       const from = configState.nextOffset(this.state)
       const page = await this.log.read(configState.configStream, from, { limit: pageRecords })
       if (!page.ok) return page
-      this.state = configState.skipTo(this.state, page.value.first)
+      this.state = configState.skipExpired(this.state, page.value.first)
       for (const record of page.value.records) this.apply(record)
       const next = configState.nextOffset(this.state)
       if (next >= page.value.next || next === from) return errors.ok(this.state)
--- a/packages/programs/entry/src/client-limits.ts
+++ b/packages/programs/entry/src/client-limits.ts
@@ -98,7 +98,7 @@
     const { timers, directory, self } = this.deps
     const askedAt = timers.monotonic()
     const holder = this.holderOf(key, askedAt)
-    const wanted = limitClient.wantedShare(holder, askedAt)
+    const wanted = limitClient.computeShareRequest(holder, askedAt)
     const wantedCredit = Math.max(wanted.wantedCredit, this.waiting.get(key) ?? 0)
     const wish = { client, limit, holder: self, ...wanted, wantedCredit }
     const owner = directory.ownerOf({ type: 'clientLimit', client })
@@ -113,7 +113,7 @@
   private equalPart (client: types.ClientId, limit: types.LimitName): types.ShareLease | undefined {
     const configured = this.deps.config()?.clients.get(client)
     if (configured === undefined) return undefined
-    const { perSecond, burst } = limitClient.clientLimitOf(configured, limit)
+    const { perSecond, burst } = limitClient.getClientLimit(configured, limit)
     const entries = Math.max(1, [...this.deps.directory.hosts()].filter(({ entry, state }) => entry.role === 'entry' && state !== 'gone').length)
     return { perSecond: perSecond / entries, burst: burst / entries, credit: 0, leaseMs: limitClient.defaultShareLeaseMs }
   }
--- a/packages/programs/front/src/account-limits.ts
+++ b/packages/programs/front/src/account-limits.ts
@@ -12,7 +12,7 @@
 
 /** What it takes to limit accounts. */
 export interface AccountLimitsPorts extends peerCalls.PeerCallPorts {
-  readonly shards: Pick<ownShards.ShardOwner, 'locate' | 'partitionOf' | 'members' | 'refreshOwners'>
+  readonly shards: Pick<ownShards.ShardOwner, 'locate' | 'getPartition' | 'listMembers' | 'refreshOwners'>
   readonly routing: { readonly accounts: identifyClient.AccountDirectory, readonly version: number }
   /** Other hosts that are heard of: where there are more hosts than shards, not all of them are members. */
   readonly peerCount: () => number
@@ -31,7 +31,7 @@
 
 /** Lets requests of accounts through, here for the clients of this host and as the owner for other hosts. */
 export class AccountLimits {
-  private readonly book = new meterAccount.MeterBook()
+  private readonly book = new meterAccount.MeterRegistry()
   private readonly channels: readonly meterChannel.MeterChannel[]
   private readonly pruning: timerService.Subscription
 
@@ -43,28 +43,28 @@
       call: (call) => this.call(call),
       limitOf: (account) => this.limitOf(account),
       version: () => ports.routing.version,
-      hosts: () => Math.max(shards.members().length, ports.peerCount() + 1)
+      hosts: () => Math.max(shards.listMembers().length, ports.peerCount() + 1)
     }
     this.channels = Array.from({ length: groupCount }, (_, group) => new meterChannel.MeterChannel(group, channelPorts))
     this.pruning = timers.every(pruneMs, () => { this.prune() })
   }
 
   /** Whether a request of the account may be sent now; if so, it is counted. */
-  take (account: types.AccountId, part: meterAccount.RequestPart): meterChannel.Taken | Promise<meterChannel.Taken> {
+  take (account: types.AccountId, part: meterAccount.RequestPosition): meterChannel.Taken | Promise<meterChannel.Taken> {
     return this.channelOf(account).take(account, part)
   }
 
   /** A request that was counted has not run, and will not. */
-  refund (account: types.AccountId, part: meterAccount.RequestPart): void {
+  refund (account: types.AccountId, part: meterAccount.RequestPosition): void {
     this.channelOf(account).refund(account, part)
   }
 
   /** Counts for another host, or for this one. */
-  settle (call: meterChannel.MeterCall): meterChannel.MeterCallAnswer {
+  countReports (call: meterChannel.MeterCall): meterChannel.MeterCallAnswer {
     const place = this.locate(call.group)
     if (place.type !== 'here') return { type: 'notOwner' }
     const now = this.ports.timers.monotonic()
-    return { type: 'metered', answers: call.reports.map((report) => this.book.settle(report, place.shard.epoch, call.version, now)) }
+    return { type: 'metered', answers: call.reports.map((report) => this.book.applyReport(report, place.shard.epoch, call.version, now)) }
   }
 
   close (): void {
@@ -77,21 +77,21 @@
   }
 
   private limitOf (account: types.AccountId): meterAccount.MeterLimit | undefined {
-    const limit = this.ports.routing.accounts.byName(account)?.limit
+    const limit = this.ports.routing.accounts.findByName(account)?.limit
     return limit === undefined ? undefined : { ...limit, slack: this.ports.slack }
   }
 
   /** A group is counted by whoever owns the shard that its name falls into. */
-  private locate (group: number): ownShards.Location {
+  private locate (group: number): ownShards.ShardLocation {
     const { shards } = this.ports
-    return shards.locate(shards.partitionOf(`accounts ${group}` as types.ProgramId))
+    return shards.locate(shards.getPartition(`accounts ${group}` as types.ProgramId))
   }
 
   private async call (call: meterChannel.MeterCall): Promise<meterChannel.MeterCallAnswer | undefined> {
     const place = this.locate(call.group)
-    if (place.type === 'here') return this.settle(call)
+    if (place.type === 'here') return this.countReports(call)
     const answer = place.type === 'member'
-      ? await peerCalls.callPeer<meterChannel.MeterCallAnswer>(this.ports, memberName.addressOf(place.member), call, callTimeoutMs)
+      ? await peerCalls.callPeer<meterChannel.MeterCallAnswer>(this.ports, memberName.parsePeerAddress(place.member), call, callTimeoutMs)
       : undefined
     if (answer?.type !== 'metered') void this.ports.shards.refreshOwners()
     return answer
--- a/packages/programs/front/src/account-scope.ts
+++ b/packages/programs/front/src/account-scope.ts
@@ -7,7 +7,7 @@
   const { program, turn } = attempt
   return {
     ...attempt,
-    program: program === undefined ? undefined : identifyClient.scopedProgram(caller, program),
-    turn: turn === undefined ? undefined : { ...turn, program: identifyClient.scopedProgram(caller, turn.program) }
+    program: program === undefined ? undefined : identifyClient.scopeProgramId(caller, program),
+    turn: turn === undefined ? undefined : { ...turn, program: identifyClient.scopeProgramId(caller, turn.program) }
   }
 }
--- a/packages/programs/front/src/answer-stream.ts
+++ b/packages/programs/front/src/answer-stream.ts
@@ -16,13 +16,13 @@
 /** Told how the answer goes. Exactly one of `whole`, `error` and `broken` is called, once. */
 export interface AnswerStreamSink {
   /** An upstream has answered. */
-  readonly head?: (upstream: types.UpstreamId) => void
+  readonly onHead?: (upstream: types.UpstreamId) => void
   /** All events have passed to the client; its answer is not ended yet. */
-  readonly whole: () => void
+  readonly onComplete: () => void
   /** The upstream answered with an error, which the client has in full. */
-  readonly error?: () => void
+  readonly onErrorAnswer?: () => void
   /** No whole answer. The client has been told, unless it is the one that left. */
-  readonly broken?: () => void
+  readonly onFailed?: () => void
 }
 
 const lineFeed = Buffer.from('\n')
@@ -45,7 +45,7 @@
   /** Passes: whether the client may have what comes; otherwise it is held until `pass`. */
   constructor (
     private readonly ports: dispatch.DispatchPorts,
-    private readonly req: inbound.Inbound,
+    private readonly req: inbound.InboundRequest,
     options: AnswerStreamOptions,
     passes: boolean,
     private readonly sink: AnswerStreamSink
@@ -59,46 +59,46 @@
         this.complete = true
         this.flush()
       },
-      fail: (failure) => { this.giveUp(dispatch.refusalOf(failure)) }
+      fail: (failure) => { this.abort(dispatch.toRefusal(failure)) }
     })
   }
 
   /** Whether an upstream may have worked on the request. */
-  get ran (): boolean {
-    return this.sent.ran
+  get mayHaveRun (): boolean {
+    return this.sent.mayHaveRun
   }
 
   /** Tokens of the whole events so far; a turn makes no more than it asked for. */
-  tokens (maxTokens: number): number {
+  countTokens (maxTokens: number): number {
     return Math.min(maxTokens, this.count * this.req.tokensPerEvent)
   }
 
   /** The data of all events, each followed by a line feed. */
-  output (): Buffer {
+  concatOutput (): Buffer {
     return Buffer.concat(this.texts)
   }
 
   start (): void {
     const { req, ports } = this
-    this.limit = ports.timers.after(req.deadlineAt - ports.timers.monotonic(), () => { this.giveUp({ type: 'timeout' }) })
-    req.reply.onGone(() => { this.giveUp(undefined) })
+    this.limit = ports.timers.after(req.deadlineAt - ports.timers.monotonic(), () => { this.abort({ type: 'timeout' }) })
+    req.reply.onGone(() => { this.abort(undefined) })
     this.sent.start()
   }
 
   /** The client may have what has come, and what comes from now on. */
-  pass (): void {
+  startRelaying (): void {
     this.passes = true
     this.flush()
   }
 
   /** Ends the request without a whole answer; no refusal: the client is gone. */
-  giveUp (refusal: inbound.Refusal | undefined): void {
+  abort (refusal: inbound.Refusal | undefined): void {
     if (this.over) return
     this.finish()
-    const { ran } = this
+    const { mayHaveRun: ran } = this
     this.sent.cancel()
     this.ports.decisions.note({ event: 'streamBroken', request: this.req.attempt.id, ran, events: this.count, reason: refusal?.type ?? 'clientGone' })
-    this.sink.broken?.()
+    this.sink.onFailed?.()
     if (refusal === undefined) return
     if (this.req.reply.headSent) this.req.reply.abort()
     else this.req.reply.refuse(refusal)
@@ -106,7 +106,7 @@
 
   private onHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
     this.head = head
-    this.sink.head?.(upstream)
+    this.sink.onHead?.(upstream)
     this.flush()
   }
 
@@ -144,15 +144,15 @@
     if (head.status !== okStatus) {
       this.finish()
       this.req.reply.end()
-      this.sink.error?.()
+      this.sink.onErrorAnswer?.()
       return
     }
     if (this.events.pendingBytes > 0) {
-      this.giveUp({ type: 'answerLost', detail: 'the stream ended within an event' })
+      this.abort({ type: 'answerLost', detail: 'the stream ended within an event' })
       return
     }
     this.finish()
-    this.sink.whole()
+    this.sink.onComplete()
   }
 
   private finish (): void {
--- a/packages/programs/front/src/check-head.ts
+++ b/packages/programs/front/src/check-head.ts
@@ -52,7 +52,7 @@
     return refused({ type: 'unknownRoute' })
   }
   const presented = dialect.presentedKey(req.rawHeaders)
-  const identified = identifyClient.identify(ports.routing.accounts, route, presented)
+  const identified = identifyClient.identifyCaller(ports.routing.accounts, route, presented)
   if (identified.type === 'unknownKey') {
     const routingAgeMs = Math.round(ports.routing.ageMs)
     decisions.note({ event: 'unknownKey', request: id, route: route.name, key: presented.type, version: routing.version, routingAgeMs })
--- a/packages/programs/front/src/client-listener.ts
+++ b/packages/programs/front/src/client-listener.ts
@@ -66,7 +66,7 @@
   const { decisions } = ports
   const { attempt, caller, kind, path, route, service, tokensPerEvent, version } = head
   ports.requests.add(res, reply, attempt, kind, arrivedAt)
-  const request: inbound.Inbound = {
+  const request: inbound.InboundRequest = {
     attempt,
     method: req.method ?? 'GET',
     path,
@@ -79,8 +79,8 @@
     deadlineAt: arrivedAt + Math.min(route.timeoutMs, attempt.deadlineMs ?? Infinity),
     reply
   }
-  decisions.note({ event: 'routed', request: attempt.id, route: route.name, service, kind, account: identifyClient.accountOf(caller), version, leftMs: Math.round(request.deadlineAt - arrivedAt) })
-  if (!await limitGate.isWithinLimit(ports, head, reply)) return
+  decisions.note({ event: 'routed', request: attempt.id, route: route.name, service, kind, account: identifyClient.getAccount(caller), version, leftMs: Math.round(request.deadlineAt - arrivedAt) })
+  if (!await limitGate.enforceAccountLimit(ports, head, reply)) return
   if (kind === 'turn' && attempt.turn !== undefined) await routeTurn.routeTurn(ports, request, attempt.turn)
   else if (kind === 'stream') serveCall.serveStream(ports, request)
   else serveCall.serveCall(ports, request)
--- a/packages/programs/front/src/confirm-refusal.ts
+++ b/packages/programs/front/src/confirm-refusal.ts
@@ -15,7 +15,7 @@
 
 /** Whether the refusal is true: the store confirms, within the time given in ms, that nobody else may know more of the program. */
 export async function confirmOverBudget (ports: ConfirmPorts, shard: ownShards.OwnedShard, request: turnLedger.TurnRequest, admission: OverBudget, limitMs: number): Promise<boolean> {
-  const confirmed = await timerService.within(ports.timers, shard.confirm(), limitMs)
+  const confirmed = await timerService.within(ports.timers, shard.confirmOwnership(), limitMs)
   ports.decisions.note({
     event: 'turnRefused',
     reason: 'over budget',
--- a/packages/programs/front/src/current-routing.ts
+++ b/packages/programs/front/src/current-routing.ts
@@ -33,7 +33,7 @@
 
   constructor (private readonly ports: CurrentRoutingPorts) {
     const { partition, key } = ports.document
-    this.follower = new followRecords.RecordFollower({ partition, pollMs: 0, waitMs }, ports, {
+    this.follower = new followRecords.RecordFollower({ partition, pollMs: 0, longPollMs: waitMs }, ports, {
       onSnapshot: (found) => {
         const value = found.get(key)
         if (value !== undefined) this.take(value)
--- a/packages/programs/front/src/find-chain.ts
+++ b/packages/programs/front/src/find-chain.ts
@@ -19,7 +19,7 @@
 
 /** What all owners together know of a turn. */
 export type Found =
-  | { readonly type: 'found', readonly chain: readonly turnLedger.KeptTurn[] }
+  | { readonly type: 'found', readonly chain: readonly turnLedger.StoredTurn[] }
   /** No shard holds it, and the store has confirmed every owner that says so. */
   | { readonly type: 'absent' }
   /** Some shards have no owner that could be asked. */
@@ -38,9 +38,9 @@
 
 async function askOwners (ports: FindPorts, wanted: WantedTurn): Promise<Found> {
   const { shards } = ports
-  const others = shards.members().filter((member) => !shards.isSelf(member))
-  const asked = others.map((member) => peerCalls.callPeer<peerCalls.FindChainAnswer>(ports, memberName.addressOf(member), { type: 'findChain', ...wanted }, peerTimeoutMs))
-  asked.push(findHere(shards, wanted))
+  const others = shards.listMembers().filter((member) => !shards.isSelf(member))
+  const asked = others.map((member) => peerCalls.callPeer<peerCalls.FindChainAnswer>(ports, memberName.parsePeerAddress(member), { type: 'findChain', ...wanted }, peerTimeoutMs))
+  asked.push(findChainLocally(shards, wanted))
   const absent = new Set<shardLog.PartitionName>()
   for (const answer of await Promise.all(asked)) {
     if (answer === undefined) continue
@@ -51,14 +51,14 @@
 }
 
 /** Looks in the shards of this process. */
-export async function findHere (shards: ownShards.ShardOwner, { turn, account }: WantedTurn): Promise<peerCalls.FindChainAnswer> {
-  const serving = shards.serving()
+export async function findChainLocally (shards: ownShards.ShardOwner, { turn, account }: WantedTurn): Promise<peerCalls.FindChainAnswer> {
+  const serving = shards.listServingShards()
   for (const shard of serving) {
     const chain = shard.ledger.exportChain(turn, account)
     if (chain !== undefined) return { type: 'found', chain }
   }
   const confirmed = await Promise.all(serving.map(async (shard) => {
-    const commit = await shard.confirm()
+    const commit = await shard.confirmOwnership()
     return commit.type === 'committed' ? [shardLog.partitionName(shard.partition)] : []
   }))
   return { type: 'absent', partitions: confirmed.flat() }
--- a/packages/programs/front/src/forward-header.ts
+++ b/packages/programs/front/src/forward-header.ts
@@ -17,7 +17,7 @@
 }
 
 /** The header, name and value, that goes with a turn to its owner. */
-export function encode (req: inbound.Inbound): string[] {
+export function encode (req: inbound.InboundRequest): string[] {
   const forwarded: Forwarded = { route: req.route, service: req.service, tokensPerEvent: req.tokensPerEvent, caller: req.caller }
   return [routeHeader, encodeURIComponent(JSON.stringify(forwarded))]
 }
--- a/packages/programs/front/src/forward-turn.ts
+++ b/packages/programs/front/src/forward-turn.ts
@@ -35,7 +35,7 @@
 }
 
 /** Resolves when the client has its answer, or when it is certain that nothing ran. */
-export function forwardTurn (ports: ForwardPorts, req: inbound.Inbound, address: string): Promise<ForwardOutcome> {
+export function forwardTurn (ports: ForwardPorts, req: inbound.InboundRequest, address: string): Promise<ForwardOutcome> {
   const { dialect, sender, timers } = ports
   const leftMs = Math.floor(req.deadlineAt - timers.monotonic())
   return new Promise((resolve) => {
--- a/packages/programs/front/src/front.ts
+++ b/packages/programs/front/src/front.ts
@@ -16,11 +16,11 @@
 import * as peerCalls from './peer-calls.js'
 import * as peerListener from './peer-listener.js'
 import * as peerProbe from './peer-probe.js'
-import * as peerWatch from './peer-watch.js'
+import * as peerFailureDetector from './peer-failure-detector.js'
 import * as programAdmission from './program-admission.js'
-import * as promptPlaces from './prompt-places.js'
+import * as promptLocations from './prompt-locations.js'
 import * as requestsUnderWay from './requests-under-way.js'
-import * as retryPool from './retry-pool.js'
+import * as retryBudget from './retry-budget.js'
 import * as routeTurn from './route-turn.js'
 import type * as settings from './settings.js'
 import * as storeOutage from './store-outage.js'
@@ -79,7 +79,7 @@
   private readonly requests: requestsUnderWay.RequestsUnderWay
   private readonly peerPorts: peerCalls.PeerCallPorts
   private readonly shards: ownShards.ShardOwner
-  private readonly watch: peerWatch.PeerWatch
+  private readonly watch: peerFailureDetector.PeerFailureDetector
   private readonly routing: currentRouting.CurrentRouting
   private readonly upstreams: upstreamView.UpstreamView
   private readonly limits: accountLimits.AccountLimits
@@ -109,7 +109,7 @@
       peerAddress: cfg.peerAddress,
       peers: () => this.otherMembers()
     })
-    this.limits = new accountLimits.AccountLimits({ ...this.peerPorts, shards: this.shards, routing: this.routing, peerCount: () => this.upstreams.loads.peerCount, slack: cfg.limitSlack })
+    this.limits = new accountLimits.AccountLimits({ ...this.peerPorts, shards: this.shards, routing: this.routing, peerCount: () => this.upstreams.peerLoads.peerCount, slack: cfg.limitSlack })
     const turnPorts = this.turnPorts()
     this.clientServer = clientListener.createClientServer({
       ...turnPorts,
@@ -121,18 +121,18 @@
     })
     this.peerServer = peerListener.createPeerServer({ ...turnPorts, directLog: ports.log, requests: this.requests, limits: this.limits }, peerIdleMs)
     this.readyServer = http.createServer((_req, res) => {
-      res.writeHead(this.ready ? 200 : 503)
+      res.writeHead(this.isReady ? 200 : 503)
       res.end()
     })
   }
 
   /** Whether new clients should be sent here. */
-  get ready (): boolean {
-    return !this.stopping && !this.watch.isIsolated && this.routing.current !== undefined && this.upstreams.known
+  get isReady (): boolean {
+    return !this.stopping && !this.watch.isIsolated && this.routing.current !== undefined && this.upstreams.isLoaded
   }
 
-  get shardsServed (): number {
-    return this.shards.serving().length
+  get servedShardCount (): number {
+    return this.shards.listServingShards().length
   }
 
   get requestsUnderWay (): number {
@@ -191,7 +191,7 @@
   private createRelayedLog (): shardLog.ShardLog {
     return new relayStore.RelayedLog({
       ...this.ports,
-      direct: this.ports.log,
+      directLog: this.ports.log,
       peers: () => this.otherMembers(),
       callPeer: (address, call) => peerCalls.callPeer(this.peerPorts, address, { type: 'store', call }, relayTimeoutMs)
     }).log
@@ -201,18 +201,18 @@
     const { cfg } = this
     return new ownShards.ShardOwner({
       group: 'homes',
-      member: memberName.memberName(cfg.host, cfg.peerAddress),
+      member: memberName.formatMemberName(cfg.host, cfg.peerAddress),
       topics: shardTopics(cfg.shardTopics),
-      parts: cfg.storeParts,
+      partitionsPerTopic: cfg.storeParts,
       leaseMs: cfg.leaseMs,
       heartbeatMs: cfg.heartbeatMs,
-      ownersMs,
-      handoverMs
-    }, { ...this.ports, log, announce: () => { this.announce() } })
+      ownersPollMs: ownersMs,
+      handoverTimeoutMs: handoverMs
+    }, { ...this.ports, log, onShardsReleased: () => { this.announce() } })
   }
 
-  private createWatch (): peerWatch.PeerWatch {
-    return new peerWatch.PeerWatch({
+  private createWatch (): peerFailureDetector.PeerFailureDetector {
+    return new peerFailureDetector.PeerFailureDetector({
       ...this.ports,
       peers: () => this.otherMembers(),
       ping: (address) => this.ping(address),
@@ -231,15 +231,15 @@
       ...this.peerPorts,
       dialect: this.ports.dialect,
       shards: this.shards,
-      watch: this.watch,
-      suspects: new routeTurn.Suspects(),
-      places: new promptPlaces.PromptPlaces(),
+      failureDetector: this.watch,
+      suspects: new routeTurn.SuspectedPeers(),
+      promptLocations: new promptLocations.PromptLocations(),
       probe: new peerProbe.PeerProbe({ ping: (address) => this.ping(address) }),
-      admission: new programAdmission.ProgramAdmission({ ...this.ports, upstreams: upstreams.list, loads: upstreams.loads, engineOf: (service) => this.routing.current?.services.get(service)?.engine, random: Math.random }),
-      outageTurns: new storeOutage.OutageTurns(),
-      retries: new retryPool.RetryPool(),
+      admission: new programAdmission.ProgramAdmission({ ...this.ports, upstreams: upstreams.list, peerLoads: upstreams.peerLoads, findEngineRules: (service) => this.routing.current?.services.get(service)?.engine, random: Math.random }),
+      deferredTurns: new storeOutage.DeferredTurns(),
+      retryBudget: new retryBudget.RetryBudget(),
       upstreams: upstreams.list,
-      loads: upstreams.loads,
+      peerLoads: upstreams.peerLoads,
       health: upstreams.health,
       listAgeMs: () => upstreams.ageMs()
     }
@@ -251,19 +251,19 @@
 
   /** The shards of a process that does not answer move now instead of when its lease lapses; its epoch is fenced. */
   private onSilent (address: string): void {
-    const member = this.shards.members().find((name) => memberName.addressOf(name) === address)
+    const member = this.shards.listMembers().find((name) => memberName.parsePeerAddress(name) === address)
     if (member === undefined) return
     this.announce(address)
     void this.shards.evict(member, 'silent')
   }
 
   private otherMembers (): string[] {
-    return this.shards.members().filter((member) => !this.shards.isSelf(member)).map(memberName.addressOf)
+    return this.shards.listMembers().filter((member) => !this.shards.isSelf(member)).map(memberName.parsePeerAddress)
   }
 
   private onIsolation (isolated: boolean): void {
-    if (isolated) void this.shards.standDown(standDownGraceMs)
-    else this.shards.standUp()
+    if (isolated) void this.shards.suspend(standDownGraceMs)
+    else this.shards.resume()
   }
 }
 
--- a/packages/programs/front/src/inbound.ts
+++ b/packages/programs/front/src/inbound.ts
@@ -7,7 +7,7 @@
 import type * as dialects from './dialect.js'
 
 /** A request with its whole body, its route and its time limit. */
-export interface Inbound {
+export interface InboundRequest {
   readonly attempt: dialects.ClientAttempt
   readonly method: string
   /** Path and query. */
@@ -130,7 +130,7 @@
   }
 
   /** Sends an answer whose body is known. */
-  whole (status: number, headers: readonly string[], body: Buffer): void {
+  send (status: number, headers: readonly string[], body: Buffer): void {
     if (this.finished) return
     this.headed?.()
     this.finish({ outcome: 'whole', status })
--- a/packages/programs/front/src/limit-gate.ts
+++ b/packages/programs/front/src/limit-gate.ts
@@ -12,7 +12,7 @@
 }
 
 /** Counts the request against the limit of its account, or refuses it; what does not run in the end is taken back. */
-export async function isWithinLimit (ports: LimitGatePorts, head: checkHead.CheckedHead, reply: inbound.Reply): Promise<boolean> {
+export async function enforceAccountLimit (ports: LimitGatePorts, head: checkHead.CheckedHead, reply: inbound.Reply): Promise<boolean> {
   const { decisions, limits } = ports
   const { attempt, caller, kind, route, version } = head
   if (caller.type !== 'account') return true
@@ -35,7 +35,7 @@
 }
 
 /** The first request of a program is known where its turns are kept: it continues from none. */
-function partOf (head: checkHead.CheckedHead): meterAccount.RequestPart {
+function partOf (head: checkHead.CheckedHead): meterAccount.RequestPosition {
   return head.route.retain?.keepsTurns === true && head.attempt.turn !== undefined && head.attempt.turn.previous === undefined ? 'first' : 'further'
 }
 
--- a/packages/programs/front/src/member-name.ts
+++ b/packages/programs/front/src/member-name.ts
@@ -3,11 +3,11 @@
 const separator = '@'
 
 /** Name of a member: HOST@IP:PORT. */
-export function memberName (host: string, peerAddress: string): string {
+export function formatMemberName (host: string, peerAddress: string): string {
   return `${host}${separator}${peerAddress}`
 }
 
 /** IP:PORT at which a member takes calls of its peers. */
-export function addressOf (member: string): string {
+export function parsePeerAddress (member: string): string {
   return member.slice(member.lastIndexOf(separator) + 1)
 }
--- a/packages/programs/front/src/meter-channel.ts
+++ b/packages/programs/front/src/meter-channel.ts
@@ -40,15 +40,15 @@
 }
 
 interface Question {
-  readonly part: meterAccount.RequestPart
+  readonly part: meterAccount.RequestPosition
   readonly done: (taken: Taken) => void
 }
 
 /** One account at this host. */
 interface Entry {
-  belief: meterAccount.AccountBelief | undefined
+  belief: meterAccount.AccountEstimate | undefined
   /** Let through before the owner has said anything. */
-  early: meterAccount.PartCounts
+  early: meterAccount.RequestCounts
   questions: Question[]
   /** What this host may send by itself while nobody counts. */
   share: meterAccount.AccountMeter | undefined
@@ -86,7 +86,7 @@
   }
 
   /** Lets a request through or not. */
-  take (account: types.AccountId, part: meterAccount.RequestPart): Taken | Promise<Taken> {
+  take (account: types.AccountId, part: meterAccount.RequestPosition): Taken | Promise<Taken> {
     const limit = this.ports.limitOf(account)
     if (limit === undefined) return { type: 'taken' }
     const now = this.ports.timers.monotonic()
@@ -94,8 +94,8 @@
     entry.usedAt = now
     const belief = this.refresh(entry, limit, now)
     if (this.failingMs >= ownerlessMs) return this.takeFromShare(entry, limit, part)
-    if (belief !== undefined && meterAccount.mayGoUnasked(belief, part)) {
-      entry.belief = meterAccount.count(belief, part, 1)
+    if (belief !== undefined && meterAccount.canSendUnasked(belief, part)) {
+      entry.belief = meterAccount.countRequest(belief, part, 1)
       this.report()
       return { type: 'taken' }
     }
@@ -108,10 +108,10 @@
   }
 
   /** Takes a request back that was let through and has not run. */
-  refund (account: types.AccountId, part: meterAccount.RequestPart): void {
+  refund (account: types.AccountId, part: meterAccount.RequestPosition): void {
     const entry = this.entries.get(account)
     if (entry?.belief === undefined) return
-    entry.belief = meterAccount.count(entry.belief, part, -1)
+    entry.belief = meterAccount.countRequest(entry.belief, part, -1)
     this.report()
   }
 
@@ -141,27 +141,27 @@
   }
 
   /** The belief as of now, under the limit in force. */
-  private refresh (entry: Entry, limit: meterAccount.MeterLimit, now: number): meterAccount.AccountBelief | undefined {
+  private refresh (entry: Entry, limit: meterAccount.MeterLimit, now: number): meterAccount.AccountEstimate | undefined {
     const { belief } = entry
     if (belief === undefined) return undefined
     const sameLimit = belief.meter.limit.requestsPerSecond === limit.requestsPerSecond && belief.meter.limit.burst === limit.burst
-    const meter = sameLimit ? belief.meter : meterAccount.withLimit(belief.meter, limit)
+    const meter = sameLimit ? belief.meter : meterAccount.applyLimit(belief.meter, limit)
     // What becomes free while nobody counts is not known to be left.
-    const filled = this.failingSince === undefined ? meterAccount.fillMeter(meter, now) : meter
+    const filled = this.failingSince === undefined ? meterAccount.refillMeter(meter, now) : meter
     entry.belief = { ...belief, meter: filled }
     return entry.belief
   }
 
-  private takeFromShare (entry: Entry, limit: meterAccount.MeterLimit, part: meterAccount.RequestPart): Taken {
+  private takeFromShare (entry: Entry, limit: meterAccount.MeterLimit, part: meterAccount.RequestPosition): Taken {
     const now = this.ports.timers.monotonic()
     const hosts = this.ports.hosts() * shareDivisor
-    const share = entry.share ?? meterAccount.createShare(limit, entry.belief, hosts, this.failingSince ?? now, now)
-    const filled = meterAccount.fillMeter(meterAccount.withLimit(share, meterAccount.shareOf(limit, hosts)), now)
+    const share = entry.share ?? meterAccount.createFallbackMeter(limit, entry.belief, hosts, this.failingSince ?? now, now)
+    const filled = meterAccount.refillMeter(meterAccount.applyLimit(share, meterAccount.divideLimit(limit, hosts)), now)
     entry.share = filled
-    if (meterAccount.roomFor(filled, part) < 0) return { type: 'limited', retryAfterMs: meterAccount.waitFor(filled, part), by: 'share', requestsLeft: filled.level }
-    entry.share = meterAccount.spend(filled, meterAccount.oneOf(part))
-    if (entry.belief === undefined) entry.early = meterAccount.sum(entry.early, meterAccount.oneOf(part))
-    else entry.belief = meterAccount.count(entry.belief, part, 1)
+    if (meterAccount.computeHeadroom(filled, part) < 0) return { type: 'limited', retryAfterMs: meterAccount.computeWaitMs(filled, part), by: 'share', requestsLeft: filled.level }
+    entry.share = meterAccount.spend(filled, meterAccount.createSingleCount(part))
+    if (entry.belief === undefined) entry.early = meterAccount.addCounts(entry.early, meterAccount.createSingleCount(part))
+    else entry.belief = meterAccount.countRequest(entry.belief, part, 1)
     this.report()
     return { type: 'taken' }
   }
@@ -197,7 +197,7 @@
   }
 
   private hasUnreported (): boolean {
-    return [...this.entries.values()].some((entry) => !meterAccount.isNone(spentOf(entry)))
+    return [...this.entries.values()].some((entry) => !meterAccount.isZero(spentOf(entry)))
   }
 
   /** Takes what is to be reported and asked out of the entries, until the answer says what became of it. */
@@ -206,7 +206,7 @@
     const batch: Batched[] = []
     for (const [account, entry] of this.entries) {
       const spent = spentOf(entry)
-      if (entry.questions.length === 0 && meterAccount.isNone(spent)) continue
+      if (entry.questions.length === 0 && meterAccount.isZero(spent)) continue
       const limit = this.ports.limitOf(account)
       const questions = entry.questions.splice(0)
       if (limit === undefined) {
@@ -215,7 +215,7 @@
         continue
       }
       const { belief } = entry
-      const believed = belief === undefined ? this.quietBelief(limit, now) : { state: meterAccount.confirmedState(belief, now), term: belief.term }
+      const believed = belief === undefined ? this.quietBelief(limit, now) : { state: meterAccount.computeConfirmedState(belief, now), term: belief.term }
       batch.push({ entry, questions, limit, report: { account, limit, spent, asked: countParts(questions), believed } })
       entry.early = meterAccount.noRequests
       if (belief !== undefined) entry.belief = { ...belief, unreported: meterAccount.noRequests }
@@ -224,9 +224,9 @@
   }
 
   /** A host that has run for longer than accounts are remembered, and knows nothing of one, has let nothing through for it. */
-  private quietBelief (limit: meterAccount.MeterLimit, now: number): meterAccount.Believed | undefined {
+  private quietBelief (limit: meterAccount.MeterLimit, now: number): meterAccount.ConfirmedState | undefined {
     if (now - this.startedAt < idleMs) return undefined
-    return { state: meterAccount.plainState(meterAccount.capacityOf(limit)), term: noTerm }
+    return { state: meterAccount.createState(meterAccount.computeCapacity(limit)), term: noTerm }
   }
 
   private takeAnswers (batch: readonly Batched[], answers: readonly meterAccount.MeterAnswer[]): void {
@@ -241,7 +241,7 @@
         continue
       }
       entry.share = undefined
-      entry.belief = meterAccount.believe(limit, answer, spentOf(entry), now)
+      entry.belief = meterAccount.createEstimate(limit, answer, spentOf(entry), now)
       entry.early = meterAccount.noRequests
       const left = { ...answer.granted }
       for (const { part, done } of questions) {
@@ -263,8 +263,8 @@
   }
 
   private putBack (entry: Entry, report: meterAccount.MeterReport): void {
-    if (entry.belief === undefined) entry.early = meterAccount.sum(entry.early, report.spent)
-    else entry.belief = { ...entry.belief, unreported: meterAccount.sum(entry.belief.unreported, report.spent) }
+    if (entry.belief === undefined) entry.early = meterAccount.addCounts(entry.early, report.spent)
+    else entry.belief = { ...entry.belief, unreported: meterAccount.addCounts(entry.belief.unreported, report.spent) }
   }
 
   /** Questions wait for the next owner, or are decided here where there was none for too long. */
@@ -284,11 +284,11 @@
   readonly report: meterAccount.MeterReport
 }
 
-function spentOf (entry: Entry): meterAccount.PartCounts {
-  return entry.belief === undefined ? entry.early : meterAccount.sum(entry.belief.unreported, entry.early)
+function spentOf (entry: Entry): meterAccount.RequestCounts {
+  return entry.belief === undefined ? entry.early : meterAccount.addCounts(entry.belief.unreported, entry.early)
 }
 
-function countParts (questions: readonly Question[]): meterAccount.PartCounts {
+function countParts (questions: readonly Question[]): meterAccount.RequestCounts {
   const first = questions.filter(({ part }) => part === 'first').length
   return { first, further: questions.length - first }
 }
--- a/packages/programs/front/src/peer-calls.ts
+++ b/packages/programs/front/src/peer-calls.ts
@@ -58,7 +58,7 @@
 
 /** What one process knows of a turn. */
 export type FindChainAnswer =
-  | { readonly type: 'found', readonly chain: readonly turnLedger.KeptTurn[] }
+  | { readonly type: 'found', readonly chain: readonly turnLedger.StoredTurn[] }
   /** None of these shards holds it, as the store has confirmed. */
   | { readonly type: 'absent', readonly partitions: readonly shardLog.PartitionName[] }
 
@@ -128,12 +128,12 @@
 
 /** Makes the call; `undefined` where no answer came within the time, in ms. */
 export async function callPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<Answer | undefined> {
-  const outcome = await tryPeer<Answer>(ports, address, call, timeoutMs)
+  const outcome = await tryCallPeer<Answer>(ports, address, call, timeoutMs)
   return outcome.type === 'answer' ? outcome.answer : undefined
 }
 
 /** Makes the call and tells why there is no answer within the time, in ms. */
-export async function tryPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<CallOutcome<Answer>> {
+export async function tryCallPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<CallOutcome<Answer>> {
   const body = encode(call)
   const outcome = await sendHttp.sendWhole(ports.sender, ports.timers, {
     address,
--- a/packages/programs/front/src/peer-watch.ts
+++ b/packages/programs/front/src/peer-failure-detector.ts
@@ -40,7 +40,7 @@
 const fewestPeers = 2
 
 /** Asks nobody while all is well; a silent peer makes it ask all of them. */
-export class PeerWatch {
+export class PeerFailureDetector {
   private asking = false
   private isolated = false
   /** Since when the rounds have said otherwise than what is believed, monotonic ms. */
@@ -63,7 +63,7 @@
   }
 
   /** Another process has told that the peer is silent. */
-  noteTold (address: string): void {
+  noteReportedSilent (address: string): void {
     this.toldAt.set(address, this.ports.timers.monotonic())
   }
 
--- a/packages/programs/front/src/peer-listener.ts
+++ b/packages/programs/front/src/peer-listener.ts
@@ -20,7 +20,7 @@
   /** The store as this process itself reaches it. */
   readonly directLog: shardLog.ShardLog
   readonly requests: requestsUnderWay.RequestsUnderWay
-  readonly limits: Pick<accountLimits.AccountLimits, 'settle'>
+  readonly limits: Pick<accountLimits.AccountLimits, 'countReports'>
 }
 
 const largestHeaderBytes = 131_072
@@ -44,7 +44,7 @@
   }
   const attempt = accountScope.scopeAttempt(decoded.attempt, forwarded.caller)
   const turn = attempt.turn!
-  const shard = routeTurn.servingShard(ports, turn.program)
+  const shard = routeTurn.findServingShard(ports, turn.program)
   if (shard === undefined) {
     reply.refuse({ type: 'shardMoving', retryAfterMs: 0 }, [...forwardHeader.notOwner, 'Connection', 'close'])
     return
@@ -75,7 +75,7 @@
   readRequest.readBody(req, Infinity, (body) => {
     if (body === undefined) return
     answerCall(ports, body).then(
-      (answer) => { reply.whole(200, [], peerCalls.encodeAnswer(answer)) },
+      (answer) => { reply.send(200, [], peerCalls.encodeAnswer(answer)) },
       (err: unknown) => {
         ports.decisions.note({ event: 'peerCallFailed', err })
         reply.refuse({ type: 'answerLost', detail: 'internal' })
@@ -90,24 +90,24 @@
     case 'store': return shardLogs.runStoreCall(ports.directLog, call.call)
     case 'ping': return { type: 'heard' }
     case 'joinNow':
-      if (call.silent !== undefined) ports.watch.noteTold(call.silent)
+      if (call.silent !== undefined) ports.failureDetector.noteReportedSilent(call.silent)
       ports.shards.joinNow()
       return { type: 'heard' }
     case 'reserve': {
-      const shard = routeTurn.servingShard(ports, call.request.program)
-      return shard === undefined ? { type: 'notOwner' } : reserveTurn.reserveHere(ports, shard, call)
+      const shard = routeTurn.findServingShard(ports, call.request.program)
+      return shard === undefined ? { type: 'notOwner' } : reserveTurn.reserveLocally(ports, shard, call)
     }
     case 'release': {
-      const shard = routeTurn.servingShard(ports, call.request.program)
-      if (shard !== undefined) reserveTurn.releaseHere(ports, shard, call)
+      const shard = routeTurn.findServingShard(ports, call.request.program)
+      if (shard !== undefined) reserveTurn.releaseLocally(ports, shard, call)
       return { type: 'heard' }
     }
-    case 'meter': return ports.limits.settle(call)
-    case 'findChain': return findChain.findHere(ports.shards, { turn: call.turn, account: call.account })
+    case 'meter': return ports.limits.countReports(call)
+    case 'findChain': return findChain.findChainLocally(ports.shards, { turn: call.turn, account: call.account })
     case 'settle': {
-      const shard = routeTurn.servingShard(ports, call.request.program)
+      const shard = routeTurn.findServingShard(ports, call.request.program)
       if (shard === undefined) return { type: 'notOwner' }
-      return settleTurn.keepAt(ports, shard, call.request, call.end)
+      return settleTurn.settleLocally(ports, shard, call.request, call.end)
     }
   }
 }
--- a/packages/programs/front/src/program-admission.ts
+++ b/packages/programs/front/src/program-admission.ts
@@ -11,11 +11,11 @@
 export interface ProgramAdmissionPorts {
   readonly upstreams: trackUpstreams.UpstreamList
   /** What other processes have running at the upstreams. */
-  readonly loads: trackUpstreams.PeerLoads
+  readonly peerLoads: trackUpstreams.PeerLoads
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
   /** What the operator says of the engines of a service. */
-  readonly engineOf: (service: types.ServiceId) => routeRequest.EngineRules | undefined
+  readonly findEngineRules: (service: types.ServiceId) => routeRequest.EngineRules | undefined
   /** Uniform in [0, 1). */
   readonly random: () => number
 }
@@ -39,8 +39,8 @@
 
   /** Whether the first turn of a program may run now. */
   admits (request: turnLedger.TurnRequest, service: types.ServiceId): boolean {
-    const { upstreams, loads, timers, decisions, random } = this.ports
-    const load = trackUpstreams.serviceLoad({ candidates: upstreams.ofService(service), othersRunning: (id) => loads.running(id), now: timers.monotonic() })
+    const { upstreams, peerLoads: loads, timers, decisions, random } = this.ports
+    const load = trackUpstreams.computeServiceLoad({ candidates: upstreams.getByService(service), othersRunning: (id) => loads.getRunning(id), now: timers.monotonic() })
     const holdsAllSlots = this.holdsAllSlots(service)
     if (admitProgram.admitByLoad({ load, holdsAllSlots, random })) return true
     decisions.note({ event: 'turnRefused', reason: 'the engines have too much to do for a new program', request: request.turn, program: request.program, detail: { load: Math.round(load * 100) / 100, peers: loads.peerCount, holdsAllSlots } })
@@ -48,9 +48,9 @@
   }
 
   private holdsAllSlots (service: types.ServiceId): boolean {
-    const engine = this.ports.engineOf(service)
+    const engine = this.ports.findEngineRules(service)
     const meanCallTokens = this.promptTokens.get(service)
     if (engine === undefined || meanCallTokens === undefined) return false
-    return admitProgram.usableSlots({ slots: engine.slots, cacheTokens: engine.memoryTokens, meanCallTokens }) >= engine.slots
+    return admitProgram.computeUsableSlots({ slots: engine.slots, cacheTokens: engine.memoryTokens, meanCallTokens }) >= engine.slots
   }
 }
--- a/packages/programs/front/src/prompt-places.ts
+++ b/packages/programs/front/src/prompt-locations.ts
@@ -9,15 +9,15 @@
 const maxPlaces = 20_000
 
 /** Remembers where the turns of this process ran. A wrong guess costs reading the prompt again, nothing else. */
-export class PromptPlaces {
+export class PromptLocations {
   private readonly places = new boundedMap.BoundedMap<string, types.UpstreamId>(maxPlaces)
 
   /** What of the turn's prompt may lie where. */
   find (turn: Pick<dialects.TurnFields, 'promptParts' | 'previous'>): trackUpstreams.PromptAffinity {
     const [sharedPart, ...ownParts] = turn.promptParts
-    if (turn.previous !== undefined) return { holder: this.places.get(turn.previous), sharedPart }
+    if (turn.previous !== undefined) return { holder: this.places.get(turn.previous), sharedPrefix: sharedPart }
     const known = ownParts.findLast((part) => this.places.has(part))
-    return { holder: known === undefined ? undefined : this.places.get(known), sharedPart }
+    return { holder: known === undefined ? undefined : this.places.get(known), sharedPrefix: sharedPart }
   }
 
   /** A turn runs at an upstream: later ones continue from it by its id, or repeat its prompt in full. */
--- a/packages/programs/front/src/retry-pool.ts
+++ b/packages/programs/front/src/retry-budget.ts
@@ -2,7 +2,7 @@
 import * as limitClient from '@eelgrasswind/limit-client'
 
 /** Earned by first attempts, so that retries stay a small part of all requests. */
-export class RetryPool {
+export class RetryBudget {
   private budget = limitClient.createRetryBudget(limitClient.processRetrySettings)
 
   /** A first attempt was made. */
--- a/packages/programs/front/src/route-turn.ts
+++ b/packages/programs/front/src/route-turn.ts
@@ -7,20 +7,20 @@
 import * as forwardTurn from './forward-turn.js'
 import type * as inbound from './inbound.js'
 import * as memberName from './member-name.js'
-import type * as peerWatch from './peer-watch.js'
+import type * as peerFailureDetector from './peer-failure-detector.js'
 import * as serveTurn from './serve-turn.js'
 import * as serveUnkept from './serve-unkept.js'
 
 /** What it takes to bring turns to their owners. */
 export interface RouteTurnPorts extends serveTurn.TurnPorts, forwardTurn.ForwardPorts {
   /** Peers that did not answer lately. */
-  readonly suspects: Suspects
+  readonly suspects: SuspectedPeers
   /** Told when a peer did not answer; knows whether this process is the one that is cut off. */
-  readonly watch: Pick<peerWatch.PeerWatch, 'suspect' | 'noteTold' | 'isIsolated'>
+  readonly failureDetector: Pick<peerFailureDetector.PeerFailureDetector, 'suspect' | 'noteReportedSilent' | 'isIsolated'>
 }
 
 /** Peers that did not answer are left alone for a while, so that only the first turn waits for them. */
-export class Suspects {
+export class SuspectedPeers {
   private readonly seen = new Map<string, { readonly since: number, readonly until: number }>()
 
   add (member: string, now: number): void {
@@ -51,14 +51,14 @@
 const lookMs = 20
 
 /** Serves a turn of a client wherever its program is owned, or refuses it with the time at which it can be served. */
-export async function routeTurn (ports: RouteTurnPorts, req: inbound.Inbound, turn: dialects.TurnFields): Promise<void> {
+export async function routeTurn (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields): Promise<void> {
   const { timers, shards } = ports
-  if (ports.watch.isIsolated) {
+  if (ports.failureDetector.isIsolated) {
     ports.decisions.note({ event: 'turnRefused', reason: 'cut off from the owners', request: req.attempt.id, program: turn.program, detail: {} })
     req.reply.refuse({ type: 'peerUnreachable', retryAfterMs: serveTurn.shardRetryMs })
     return
   }
-  const partition = shards.partitionOf(turn.program)
+  const partition = shards.getPartition(turn.program)
   const startedAt = timers.monotonic()
   let last: unknown
   do {
@@ -102,7 +102,7 @@
   /** Nothing ran, and another look soon would find the same. */
   | { readonly type: 'later', readonly reason: string }
 
-async function tryPlace (ports: RouteTurnPorts, req: inbound.Inbound, turn: dialects.TurnFields, place: ownShards.Location): Promise<Step> {
+async function tryPlace (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, place: ownShards.ShardLocation): Promise<Step> {
   switch (place.type) {
     case 'unknown': return { type: 'again', reason: 'no owner known' }
     case 'here':
@@ -114,17 +114,17 @@
   }
 }
 
-async function tryMember (ports: RouteTurnPorts, req: inbound.Inbound, turn: dialects.TurnFields, member: string): Promise<Step> {
+async function tryMember (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<Step> {
   const { shards, suspects, timers } = ports
   if (suspects.has(member, timers.monotonic())) {
-    return { type: shards.wasEvicted(member) ? 'again' : 'later', reason: 'the owner did not answer just now' }
+    return { type: shards.hasRecentlyEvicted(member) ? 'again' : 'later', reason: 'the owner did not answer just now' }
   }
-  const address = memberName.addressOf(member)
+  const address = memberName.parsePeerAddress(member)
   const step = isKept(req) ? await passOn(ports, req, turn, member) : await tryUnkept(ports, req, turn, { type: 'peer', address })
   if (step.type !== 'silent') return step
   suspects.add(member, timers.monotonic())
   if (step.ended) void shards.evict(member, 'ended')
-  else ports.watch.suspect(address)
+  else ports.failureDetector.suspect(address)
   return orAgain(step)
 }
 
@@ -139,9 +139,9 @@
 }
 
 /** A kept turn is served by the owner of its program. */
-async function passOn (ports: RouteTurnPorts, req: inbound.Inbound, turn: dialects.TurnFields, member: string): Promise<Step | Silent> {
+async function passOn (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<Step | Silent> {
   ports.decisions.note({ event: 'passedOn', request: req.attempt.id, program: turn.program, owner: member, ownersAgeMs: Math.round(ports.shards.ownersAgeMs) })
-  const outcome = await forwardTurn.forwardTurn(ports, req, memberName.addressOf(member))
+  const outcome = await forwardTurn.forwardTurn(ports, req, memberName.parsePeerAddress(member))
   switch (outcome.type) {
     case 'answered': return { type: 'done' }
     case 'notOwner': return { type: 'again', reason: outcome.type }
@@ -150,7 +150,7 @@
 }
 
 /** Any other turn is run here, with tokens that the owner of its program has reserved. */
-async function tryUnkept (ports: RouteTurnPorts, req: inbound.Inbound, turn: dialects.TurnFields, owner: serveUnkept.Owner): Promise<Step | Silent> {
+async function tryUnkept (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, owner: serveUnkept.Owner): Promise<Step | Silent> {
   const call = serveUnkept.reserveCall(req, turn)
   const outcome = await serveUnkept.reserve(ports, owner, call)
   if (outcome.type === 'none') return { type: 'silent', ended: outcome.ended }
@@ -170,17 +170,17 @@
   }
 }
 
-function isKept (req: inbound.Inbound): boolean {
+function isKept (req: inbound.InboundRequest): boolean {
   return req.route.retain?.keepsTurns === true
 }
 
 /** The shard of a program, if this process serves it now. */
-export function servingShard (ports: Pick<RouteTurnPorts, 'shards'>, program: types.ProgramId): ownShards.OwnedShard | undefined {
-  const place = ports.shards.locate(ports.shards.partitionOf(program))
+export function findServingShard (ports: Pick<RouteTurnPorts, 'shards'>, program: types.ProgramId): ownShards.OwnedShard | undefined {
+  const place = ports.shards.locate(ports.shards.getPartition(program))
   return place.type === 'here' && place.shard.state === 'serving' ? place.shard : undefined
 }
 
-function describe (place: ownShards.Location): { readonly type: string, readonly state?: string, readonly member?: string, readonly partition?: shardLog.Partition } {
+function describe (place: ownShards.ShardLocation): { readonly type: string, readonly state?: string, readonly member?: string, readonly partition?: shardLog.Partition } {
   switch (place.type) {
     case 'unknown': return { type: 'unknown' }
     case 'member': return { type: 'member', member: place.member }
--- a/packages/programs/front/src/run-front.ts
+++ b/packages/programs/front/src/run-front.ts
@@ -91,7 +91,7 @@
 }
 
 function addGauges (metrics: decisionLog.DecisionMetrics, running: front.Front, lines: loggers.BoundedLines): void {
-  metrics.gauge('shards_owned', 'Shards that this process serves.', () => running.shardsServed)
+  metrics.gauge('shards_owned', 'Shards that this process serves.', () => running.servedShardCount)
   metrics.gauge('requests_under_way', 'Requests that are not answered yet.', () => running.requestsUnderWay)
   metrics.gauge('routing_version', 'Version of the routing in force; 0 before the first.', () => running.routingVersion)
   metrics.gauge('upstreams', 'Upstreams that are listed.', () => running.upstreamCount)
--- a/packages/programs/front/src/serve-unkept.ts
+++ b/packages/programs/front/src/serve-unkept.ts
@@ -23,11 +23,11 @@
 const releaseTimeoutMs = 400
 
 /** What the owner is asked. */
-export function reserveCall (req: inbound.Inbound, turn: dialects.TurnFields): peerCalls.ReserveCall {
+export function reserveCall (req: inbound.InboundRequest, turn: dialects.TurnFields): peerCalls.ReserveCall {
   const request: turnLedger.TurnRequest = {
     turn: req.attempt.id,
     program: turn.program,
-    account: identifyClient.accountOf(req.caller),
+    account: identifyClient.getAccount(req.caller),
     previous: undefined,
     maxTokens: turn.maxTokens,
     budgetTokens: turn.budgetTokens,
@@ -42,38 +42,38 @@
  * turn: the release of the first reservation could undo the second.
  */
 export async function reserve (ports: UnkeptPorts, owner: Owner, call: peerCalls.ReserveCall): Promise<peerCalls.CallOutcome<peerCalls.ReserveAnswer>> {
-  if (owner.type === 'here') return { type: 'answer', answer: await reserveTurn.reserveHere(ports, owner.shard, call) }
-  const outcome = await peerCalls.tryPeer<peerCalls.ReserveAnswer>(ports, owner.address, call, reserveTimeoutMs)
+  if (owner.type === 'here') return { type: 'answer', answer: await reserveTurn.reserveLocally(ports, owner.shard, call) }
+  const outcome = await peerCalls.tryCallPeer<peerCalls.ReserveAnswer>(ports, owner.address, call, reserveTimeoutMs)
   // If only the answer was lost, the tokens are reserved: nothing is run on them, and the program may need them.
   if (outcome.type === 'none' && !outcome.ended) release(ports, owner, { ...call, type: 'release', tokens: 0 })
   return outcome
 }
 
 /** Runs the turn and tells the owner what it made; where that does not arrive, the turn counts at its most. */
-export function run (ports: UnkeptPorts, req: inbound.Inbound, turn: dialects.TurnFields, owner: Owner, call: peerCalls.ReserveCall, holder: types.UpstreamId | undefined): void {
+export function run (ports: UnkeptPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, owner: Owner, call: peerCalls.ReserveCall, holder: types.UpstreamId | undefined): void {
   let upstream: types.UpstreamId | undefined
   const end = (): void => {
-    release(ports, owner, { ...call, type: 'release', tokens: answer.tokens(turn.maxTokens), upstream })
+    release(ports, owner, { ...call, type: 'release', tokens: answer.countTokens(turn.maxTokens), upstream })
   }
-  const known = ports.places.find(turn)
+  const known = ports.promptLocations.find(turn)
   const affinity = { ...known, holder: holder ?? known.holder }
   const answer = new answerStream.AnswerStream(ports, req, { body: req.body, affinity }, true, {
-    head: (chosen) => {
+    onHead: (chosen) => {
       upstream = chosen
-      ports.places.note(req.attempt.id, turn, chosen)
+      ports.promptLocations.note(req.attempt.id, turn, chosen)
     },
-    whole: () => {
+    onComplete: () => {
       req.reply.end()
       end()
     },
-    error: end,
-    broken: end
+    onErrorAnswer: end,
+    onFailed: end
   })
   answer.start()
 }
 
 /** Gives back what was reserved for a turn that is not run. */
 export function release (ports: UnkeptPorts, owner: Owner, call: peerCalls.ReleaseCall): void {
-  if (owner.type === 'here') reserveTurn.releaseHere(ports, owner.shard, call)
+  if (owner.type === 'here') reserveTurn.releaseLocally(ports, owner.shard, call)
   else void peerCalls.callPeer(ports, owner.address, call, releaseTimeoutMs)
 }
--- a/packages/programs/front/src/settle-turn.ts
+++ b/packages/programs/front/src/settle-turn.ts
@@ -24,9 +24,9 @@
   end: peerCalls.SettleCall['end'],
   deadlineAt: number
 ): Promise<boolean> {
-  const first = await keepAt(ports, shard, request, end)
+  const first = await settleLocally(ports, shard, request, end)
   if (first.type === 'kept') return true
-  const partition = ports.shards.partitionOf(request.program)
+  const partition = ports.shards.getPartition(request.program)
   while (ports.timers.monotonic() < deadlineAt) {
     const outcome = await tryOwner(ports, ports.shards.locate(partition), request, end)
     if (outcome.type === 'kept') {
@@ -41,19 +41,19 @@
   return false
 }
 
-async function tryOwner (ports: SettlePorts, place: ownShards.Location, request: turnLedger.TurnRequest, end: peerCalls.SettleCall['end']): Promise<peerCalls.SettleAnswer> {
+async function tryOwner (ports: SettlePorts, place: ownShards.ShardLocation, request: turnLedger.TurnRequest, end: peerCalls.SettleCall['end']): Promise<peerCalls.SettleAnswer> {
   switch (place.type) {
     case 'unknown': return { type: 'notOwner' }
-    case 'here': return keepAt(ports, place.shard, request, end)
+    case 'here': return settleLocally(ports, place.shard, request, end)
     case 'member': {
-      const answer = await peerCalls.callPeer<peerCalls.SettleAnswer>(ports, memberName.addressOf(place.member), { type: 'settle', request, end }, peerTimeoutMs)
+      const answer = await peerCalls.callPeer<peerCalls.SettleAnswer>(ports, memberName.parsePeerAddress(place.member), { type: 'settle', request, end }, peerTimeoutMs)
       return answer ?? { type: 'notOwner' }
     }
   }
 }
 
 /** Keeps a turn at a shard of this process. */
-export async function keepAt (
+export async function settleLocally (
   ports: Pick<SettlePorts, 'timers'>,
   shard: ownShards.OwnedShard,
   request: turnLedger.TurnRequest,
@@ -61,8 +61,8 @@
 ): Promise<peerCalls.SettleAnswer> {
   if (shard.state !== 'serving') return { type: 'notOwner' }
   const now = ports.timers.now() as types.EpochMs
-  const ended = shard.ledger.end(request, end, now)
-  const outcome = ended.type === 'unknown' ? shard.ledger.adopt(request, end, now) : ended
+  const ended = shard.ledger.settleTurn(request, end, now)
+  const outcome = ended.type === 'unknown' ? shard.ledger.adoptTurn(request, end, now) : ended
   if (outcome.type === 'unknown') return { type: 'unknown' }
   const commit = await shard.commit(outcome.type === 'settled' ? outcome.writes : [])
   return commit.type === 'committed' ? { type: 'kept' } : { type: 'notOwner' }
--- a/packages/programs/front/src/store-outage.ts
+++ b/packages/programs/front/src/store-outage.ts
@@ -25,7 +25,7 @@
  * refused each time: programs that begin within an outage of 7 s are late instead of refused, 0.073 of all that came on
  * a day with one such outage. To run it at once would outlast 7 s, and cost engines a run for each of the tries at the start.
  */
-export class OutageTurns {
+export class DeferredTurns {
   private readonly toldAt = new boundedMap.BoundedMap<string, number>(mostTurns)
 
   /** Whether the turn may run now, monotonic ms; if not, it has to be told to come back. */
--- a/packages/programs/front/src/upstream-directory.ts
+++ b/packages/programs/front/src/upstream-directory.ts
@@ -11,7 +11,7 @@
   readonly decisions: decisionLog.DecisionLog
   readonly decode: (key: string, value: Uint8Array) => trackUpstreams.ListedUpstream
   /** Time since the store came back from an outage, in ms; infinite where there was none. */
-  readonly sinceReturnMs: () => number
+  readonly sinceRecoveryMs: () => number
 }
 
 /** Entries that lapsed while the store was away have this long to return, in ms; the store's users promise about two seconds. */
@@ -32,7 +32,7 @@
   constructor (private readonly ports: DirectoryPorts) {}
 
   /** True once the whole list was read. */
-  get known (): boolean {
+  get isLoaded (): boolean {
     return this.complete
   }
 
@@ -62,7 +62,7 @@
   remove (key: string): void {
     this.unreadable.delete(key)
     const id = this.incarnations.get(key)
-    const { timers, decisions, sinceReturnMs } = this.ports
+    const { timers, decisions, sinceRecoveryMs: sinceReturnMs } = this.ports
     if (id === undefined || this.missing.has(key)) return
     const graceMs = Math.max(0, returnGraceMs - sinceReturnMs())
     decisions.note({ event: 'upstreamGone', upstream: id, graceMs: Math.round(graceMs) })
--- a/packages/programs/front/src/upstream-health.ts
+++ b/packages/programs/front/src/upstream-health.ts
@@ -18,20 +18,20 @@
 
 /** Keeps the beliefs that the choice of an upstream rests on. */
 export class UpstreamHealth {
-  private readonly outliers: trackUpstreams.OutlierFinder
-  private readonly usual = new trackUpstreams.UsualTimes()
+  private readonly outliers: trackUpstreams.OutlierDetector
+  private readonly usual = new trackUpstreams.TypicalLatencies()
 
   constructor (private readonly ports: UpstreamHealthPorts) {
-    this.outliers = new trackUpstreams.OutlierFinder(ports.upstreams)
+    this.outliers = new trackUpstreams.OutlierDetector(ports.upstreams)
   }
 
   noteSent (upstream: trackUpstreams.Upstream): void {
-    this.outliers.noteSent(upstream.listed.service, this.ports.timers.monotonic())
+    this.outliers.countRequest(upstream.listed.service, this.ports.timers.monotonic())
   }
 
   /** The first bytes of an answer came, so many ms after the request was sent. */
   noteFirst (upstream: trackUpstreams.Upstream, route: routeRequest.Route, tookMs: number): void {
-    if (this.usual.note(route.name, tookMs, route.objectiveMs)) this.mark(upstream.listed.id, 'slow')
+    if (this.usual.observe(route.name, tookMs, route.objectiveMs)) this.mark(upstream.listed.id, 'slow')
   }
 
   /** No usable answer came. */
@@ -42,7 +42,7 @@
 
   /** Nothing at all came for so long that the upstream's host is likely gone. */
   noteSilent (upstream: trackUpstreams.Upstream): void {
-    trackUpstreams.noteSilent(upstream, this.ports.timers.monotonic())
+    trackUpstreams.noteUnresponsive(upstream, this.ports.timers.monotonic())
     this.mark(upstream.listed.id, 'failed')
   }
 
@@ -62,7 +62,7 @@
   }
 
   private judge (report: trackUpstreams.MarkReport, source: 'own' | 'peer'): void {
-    const ejection = this.outliers.note(report, this.ports.processes(), this.ports.timers.monotonic())
+    const ejection = this.outliers.applyReport(report, this.ports.processes(), this.ports.timers.monotonic())
     if (ejection === undefined) return
     this.ports.decisions.note({ event: 'upstreamEjected', ...ejection, marks: round(ejection.marks), requests: round(ejection.requests), source })
   }
--- a/packages/programs/front/src/upstream-view.ts
+++ b/packages/programs/front/src/upstream-view.ts
@@ -24,7 +24,7 @@
 /** Joins the list of the store, the reports of the peers and this process's own requests. */
 export class UpstreamView {
   readonly list = new trackUpstreams.UpstreamList()
-  readonly loads = new trackUpstreams.PeerLoads()
+  readonly peerLoads = new trackUpstreams.PeerLoads()
   readonly health: upstreamHealth.UpstreamHealth
   private readonly sharer: shareLoad.LoadSharer
   private readonly follower: followRecords.RecordFollower
@@ -36,14 +36,14 @@
       upstreams: this.list,
       timers,
       decisions,
-      processes: () => this.loads.peerCount + 1,
-      share: (upstream, mark) => { this.sharer.mark(upstream, mark) }
+      processes: () => this.peerLoads.peerCount + 1,
+      share: (upstream, mark) => { this.sharer.recordMark(upstream, mark) }
     })
     this.sharer = new shareLoad.LoadSharer(ports.peerAddress, {
       upstreams: this.list,
-      loads: this.loads,
+      loads: this.peerLoads,
       peers: ports.peers,
-      onMarks: (marks) => { this.health.takeMarks(marks) },
+      onMarksReceived: (marks) => { this.health.takeMarks(marks) },
       timers,
       decisions
     })
@@ -52,9 +52,9 @@
       timers,
       decisions,
       decode: ports.decode,
-      sinceReturnMs: () => this.follower.sinceReturnMs()
+      sinceRecoveryMs: () => this.follower.sinceRecoveryMs()
     })
-    this.follower = new followRecords.RecordFollower({ partition: ports.partition, pollMs, waitMs: 0 }, ports, {
+    this.follower = new followRecords.RecordFollower({ partition: ports.partition, pollMs, longPollMs: 0 }, ports, {
       onSnapshot: (found) => { this.directory.replace(found) },
       onPut: (key, value) => { this.directory.put(key, value) },
       onRemove: (key) => { this.directory.remove(key) }
@@ -62,8 +62,8 @@
   }
 
   /** True once the whole list was read. */
-  get known (): boolean {
-    return this.directory.known
+  get isLoaded (): boolean {
+    return this.directory.isLoaded
   }
 
   /** Age of the list, in ms. */
--- a/packages/programs/process-base/src/host-directory.ts
+++ b/packages/programs/process-base/src/host-directory.ts
@@ -81,7 +81,7 @@
 
   /** Logs the hosts whose state differs from what was logged last. */
   private noteChanges (): void {
-    const { version, hosts } = this.table.view()
+    const { version, hosts } = this.table.getView()
     if (version === this.notedVersion) return
     this.notedVersion = version
     const changed = hosts.flatMap(({ entry, state }) => this.noted.get(entry.host) === state ? [] : [{ host: entry.host, state, address: entry.address }])
@@ -96,7 +96,7 @@
   }
 
   private memberMap (): ReadonlyMap<types.HostId, membership.MemberHost> {
-    const view = this.table.view()
+    const view = this.table.getView()
     if (view.version !== this.membersVersion) {
       this.members = new Map(view.hosts.map((member) => [member.entry.host, member]))
       this.membersVersion = view.version
@@ -106,7 +106,7 @@
 
   /** Grows by one with every change of the hosts' states. */
   version (): number {
-    return this.table.view().version
+    return this.table.getView().version
   }
 
   hosts (): Iterable<membership.MemberHost> {
@@ -143,7 +143,7 @@
 
   /** The process that does a task for many; undefined while none is known. */
   ownerOf (task: chooseHome.OwnedTask): types.HostId | undefined {
-    return this.deps.homes.ownerOf(task, this.homeHosts())
+    return this.deps.homes.findOwner(task, this.homeHosts())
   }
 
   /** Live sidecars beside model engines of this region. */
@@ -154,7 +154,7 @@
       this.homeSelectorConfig = config
       this.homeSelector = membership.createHostSelector((entry) => this.mayBeHome(config, entry))
     }
-    return this.homeSelector(this.table.view())
+    return this.homeSelector(this.table.getView())
   }
 
   private mayBeHome (config: configState.Config, entry: types.HostEntry): boolean {
--- a/packages/programs/process-base/src/process-base.ts
+++ b/packages/programs/process-base/src/process-base.ts
@@ -60,7 +60,7 @@
     logger: log,
     pollMs: settings.configPollMs,
     fetchFromPeers: (have) => askPeersForConfig(directory, host, have),
-    copies: { by: host, isMine: () => directory.ownerOf({ type: 'configCopy', round: Math.floor(timers.now() / copyRoundMs) }) === host }
+    copies: { author: host, isCopyWriter: () => directory.ownerOf({ type: 'configCopy', round: Math.floor(timers.now() / copyRoundMs) }) === host }
   })
   await directory.readHostList()
   directory.settle()
--- a/packages/programs/program-home/src/allowance.ts
+++ b/packages/programs/program-home/src/allowance.ts
@@ -29,7 +29,7 @@
 /** What covers all that runs without a record, `ending` apart, and calls to come. */
 export function nextAllowance (cfg: configState.Config, program: local.LocalProgram, need: types.Usage, ending: types.Usage = local.noUsage): types.Usage {
   const open = local.lessUsage(local.addUsage(program.reserved, program.unrecorded), ending)
-  const left = local.lessUsage(local.lessUsage(program.state.start.budget, programState.spent(program.state)), open)
+  const left = local.lessUsage(local.lessUsage(program.state.start.budget, programState.computeSpent(program.state)), open)
   const likeLast = { tokens: callsAhead * need.tokens, calls: callsAhead * need.calls, microCost: callsAhead * need.microCost }
   return local.addUsage(open, least(most(likeLast, usualAhead(cfg, program.state.start)), partOf(left)))
 }
--- a/packages/programs/program-home/src/check-call.ts
+++ b/packages/programs/program-home/src/check-call.ts
@@ -33,7 +33,7 @@
   const { finished } = program.state
   if (finished !== null) return refuse({ tag: 'programFinished', verdict: 'notRun', message: `the program has ended: ${finished}`, result: finished })
   if (program.releasing) return refuse({ tag: 'notHome', verdict: 'notRun', message: 'the program is moving to another home', home: null, retryAfterMs: inProgressRetryMs })
-  const expectedSeq = programState.nextSeq(program.state, call.branch)
+  const expectedSeq = programState.getNextSeq(program.state, call.branch)
   const underWay = callUnderWay(program, call.branch)
   // An open intent counts as a place that is used, also while its end is being found out: the next place belongs to nobody.
   if (underWay !== undefined && underWay.seq < call.seq) return refuse(sequenceGap(call, underWay.seq))
--- a/packages/programs/program-home/src/reserve-budget.ts
+++ b/packages/programs/program-home/src/reserve-budget.ts
@@ -36,7 +36,7 @@
 function modelNeed (cfg: configState.Config, state: programState.ProgramState, target: Extract<types.CallTarget, { type: 'model' }>, branch: types.BranchId): CallNeed {
   const kind = cfg.kinds.get(state.start.kind)
   const maxTokens = Math.min(target.maxTokens, kind?.maxTokens ?? target.maxTokens)
-  const promptTokens = estimateTokens([...programState.messagesOf(state, branch), ...target.messages])
+  const promptTokens = estimateTokens([...programState.collectMessages(state, branch), ...target.messages])
   const tokens = { prompt: promptTokens, cached: 0, generated: maxTokens }
   return { promptTokens, maxTokens, usage: usageOf(cfg, target, tokens) }
 }
@@ -58,7 +58,7 @@
 
 /** Whether the need fits beside what is spent and reserved; the failure names the first field that does not. */
 export function checkBudget (program: local.LocalProgram, need: types.Usage): errors.Result<void> {
-  const used = local.addUsage(programState.spent(program.state), local.addUsage(program.reserved, program.unrecorded))
+  const used = local.addUsage(programState.computeSpent(program.state), local.addUsage(program.reserved, program.unrecorded))
   const { budget } = program.state.start
   for (const field of limitedFields) {
     const remaining = budget[field] - used[field]
--- a/packages/programs/program-home/src/take-over.ts
+++ b/packages/programs/program-home/src/take-over.ts
@@ -38,7 +38,7 @@
 /** The whole state of a program that this process is now the home of, or that has ended. */
 export async function takeOver (deps: TakeOverDeps, program: types.ProgramId): Promise<errors.Result<programState.ProgramState>> {
   for (let count = 0; count < maxClaims; count += 1) {
-    const head = await deps.journal.head(program)
+    const head = await deps.journal.readHead(program)
     if (!head.ok) return errors.fail({ ...head.failure, verdict: 'notRun' })
     if (head.value === undefined) return errors.fail({ tag: 'unknownProgram', verdict: 'notRun', message: `no program ${program}` })
     if (head.value.finished !== null) return await load(deps, program)
--- a/packages/programs/program-home/src/test-journal.ts
+++ b/packages/programs/program-home/src/test-journal.ts
@@ -32,15 +32,15 @@
     const start = { program, client, kind: 'quote' as types.KindId, deadline: 600_000 as types.EpochMs, budget }
     const begin: types.BeginRecord = { type: 'begin', program, n: 1, term: 0 as types.Term, start, home, at: 0 as types.EpochMs }
     this.view = programState.applyRecord(undefined, begin, this.position as types.Term).view!
-    this.program = new local.LocalProgram(programState.completeState(this.view)!, limitClient.createRetryBudget(limitClient.processRetrySettings))
+    this.program = new local.LocalProgram(programState.getCompleteState(this.view)!, limitClient.createRetryBudget(limitClient.processRetrySettings))
   }
 
   /** The part of a journal that a home writes with. */
   get journal (): appendJournal.Journal {
-    const used: Pick<appendJournal.Journal, 'append' | 'available' | 'head' | 'load'> = {
+    const used: Pick<appendJournal.Journal, 'append' | 'isAvailable' | 'readHead' | 'load'> = {
       append: async (record) => this.append(record),
-      available: () => true,
-      head: async () => {
+      isAvailable: () => true,
+      readHead: async () => {
         for (const record of this.unread.splice(0)) this.land(record)
         return errors.ok(this.program.state)
       },
--- a/packages/programs/sidecar/src/share-lender.ts
+++ b/packages/programs/sidecar/src/share-lender.ts
@@ -22,7 +22,7 @@
   readonly borrowShare = async (wish: types.ShareWish): Promise<errors.Result<types.ShareLease>> => {
     const client = this.config()?.clients.get(wish.client)
     if (client === undefined) return errors.fail({ tag: 'unknownTarget', verdict: 'notRun', message: `client ${wish.client} is not in the configuration`, field: 'client' })
-    const limit = limitClient.clientLimitOf(client, wish.limit)
+    const limit = limitClient.getClientLimit(client, wish.limit)
     const now = this.timers.monotonic()
     const key: LimitKey = `${wish.client}/${wish.limit}`
     const { owner, grant } = limitClient.grantShare(this.ownerOf(key, limit, now), wish, now)
--- a/packages/programs/sidecar/src/sidecar-metrics.ts
+++ b/packages/programs/sidecar/src/sidecar-metrics.ts
@@ -6,17 +6,17 @@
 
 /** Sends the gauges, and the counters' growth since the last call. */
 export function createSidecarMetrics (sent: metrics.Metrics, home: programHome.ProgramHome, guard: guardUpstream.UpstreamGuard, journal: appendJournal.Journal): () => void {
-  let before = { ...journal.counters() }
+  let before = { ...journal.getCounters() }
 
   return () => {
-    const counters = { ...journal.counters() }
+    const counters = { ...journal.getCounters() }
     sent.increment('log.appends', counters.appends - before.appends)
     sent.increment('log.append_failed', counters.failedAppends - before.failedAppends)
     sent.increment('log.records', counters.records - before.records)
     sent.increment('log.written', counters.bytesWritten - before.bytesWritten)
     sent.increment('log.read', counters.bytesRead - before.bytesRead)
     before = counters
-    sent.gauge('log.unavailable', journal.available() ? 0 : 1)
+    sent.gauge('log.unavailable', journal.isAvailable() ? 0 : 1)
     sent.gauge('program.open', home.size)
     for (const { upstream, running, waiting } of guard.status()) {
       sent.gauge('upstream.running', running, { upstream })
--- a/packages/programs/sidecar/src/sidecar.ts
+++ b/packages/programs/sidecar/src/sidecar.ts
@@ -130,7 +130,7 @@
     leaving,
     programsAtHome: home.size,
     callsInFlight: guard.callsInFlight(),
-    journal: { ...journal.counters() },
+    journal: { ...journal.getCounters() },
     upstreams: guard.status()
   }
 }
--- a/packages/programs/sidecar/src/upstream-directory.ts
+++ b/packages/programs/sidecar/src/upstream-directory.ts
@@ -37,7 +37,7 @@
 export class UpstreamDirectory implements programHome.UpstreamsPort {
   private readonly inFlight = new Map<types.UpstreamId, number>()
   private readonly loads = new Map<types.UpstreamId, LoadSeen>()
-  private readonly slow = placeCall.createSlowUpstreams()
+  private readonly slow = placeCall.createSlowUpstreamDetector()
   private byTarget = new Map<TargetName, KnownUpstream[]>()
   private builtFor: configState.Config | undefined
 
@@ -93,7 +93,7 @@
       reported: seen?.reported,
       inFlightAtReport: seen?.inFlightAtReport ?? 0,
       cachedTokens: 0,
-      slowFactor: this.slow.factor(known.upstream, this.deps.timers.monotonic())
+      slowFactor: this.slow.getSlowFactor(known.upstream, this.deps.timers.monotonic())
     }]
   }
 
--- a/packages/state/append-journal/src/heads.ts
+++ b/packages/state/append-journal/src/heads.ts
@@ -28,8 +28,8 @@
 }
 
 /** Member by member, as a spread makes objects that take half as much memory again. */
-function baseOf ({ term, n, home, finished, lastAt, complete }: programState.ChainPoint, position: types.Term, at: types.EpochMs): HeadPoint {
-  return { term, n, home, finished, lastAt, complete, base: position, baseAt: at, offsets: [types.offsetOf(position)] }
+function baseOf ({ term, n, home, finished, lastAt, isComplete: complete }: programState.ChainPoint, position: types.Term, at: types.EpochMs): HeadPoint {
+  return { term, n, home, finished, lastAt, isComplete: complete, base: position, baseAt: at, offsets: [types.offsetOf(position)] }
 }
 
 function addOffset (offsets: types.LogOffset[], offset: types.LogOffset): void {
--- a/packages/state/append-journal/src/journal.ts
+++ b/packages/state/append-journal/src/journal.ts
@@ -55,7 +55,7 @@
   /** Reads a shard up to its end. */
   catchUp: (shard: number) => Promise<errors.Result<void>>
   /** After catching up; undefined where the program never began, historyIncomplete where this can't be known. */
-  head: (program: types.ProgramId) => Promise<errors.Result<Head | undefined>>
+  readHead: (program: types.ProgramId) => Promise<errors.Result<Head | undefined>>
   /** The whole state, kept up to date until release. Only the fold changes it. */
   load: (program: types.ProgramId) => Promise<errors.Result<programState.ProgramState | undefined>>
   /** Drops the state of a local program. */
@@ -63,8 +63,8 @@
   /** Local programs that need a snapshot before half of the retention has passed, most urgent first. `now` is wall time. */
   planSnapshots: (now: types.EpochMs) => types.ProgramId[]
   /** Whether the log has answered lately. */
-  available: () => boolean
-  counters: () => Readonly<counters.JournalCounters> & counters.JournalSizes
+  isAvailable: () => boolean
+  getCounters: () => Readonly<counters.JournalCounters> & counters.JournalSizes
   /** Sends what is queued, within a bound; then appends fail. */
   close: () => Promise<void>
 }
@@ -136,7 +136,7 @@
     return await this.shards[shard]!.reader.catchUp()
   }
 
-  async head (program: types.ProgramId): Promise<errors.Result<Head | undefined>> {
+  async readHead (program: types.ProgramId): Promise<errors.Result<Head | undefined>> {
     const { fold, reader } = this.shardFor(program)
     const read = await reader.catchUp()
     if (!read.ok) return read
@@ -167,11 +167,11 @@
       .map(({ program }) => program)
   }
 
-  available (): boolean {
+  isAvailable (): boolean {
     return this.shards.every(({ writer }) => writer.failingMs() < unavailableAfterMs)
   }
 
-  counters (): Readonly<counters.JournalCounters> & counters.JournalSizes {
+  getCounters (): Readonly<counters.JournalCounters> & counters.JournalSizes {
     const folds = this.shards.map(({ fold }) => fold)
     return {
       ...this.counted,
@@ -196,7 +196,7 @@
     const { fold, reader } = this.shardFor(program)
     const read = await reader.catchUp()
     if (!read.ok) return read
-    const local = programState.completeState(fold.locals.get(program))
+    const local = programState.getCompleteState(fold.locals.get(program))
     if (local !== undefined) return errors.ok(local)
     return await loads.loadProgram(fold, reader, program)
   }
--- a/packages/state/append-journal/src/load-program.ts
+++ b/packages/state/append-journal/src/load-program.ts
@@ -45,7 +45,7 @@
 ): errors.Result<programState.ProgramState | undefined> {
   const placed = head.offsets.flatMap((offset) => records.get(offset) ?? []).filter(({ position }) => position >= head.base)
   const view = foldFromBase(placed)
-  const state = programState.completeState(view)
+  const state = programState.getCompleteState(view)
   if (view === undefined || state?.n !== head.n || state.term !== head.term) return errors.fail(failures.historyIncomplete(program))
   fold.keep(program, view)
   return errors.ok(state)
--- a/packages/state/append-journal/src/measure.ts
+++ b/packages/state/append-journal/src/measure.ts
@@ -124,7 +124,7 @@
     fillLog(log, programNames(otherPrograms), turns, 8, text)
     const journal = await openJournal(log, timers)
     const us = await cpuUs(() => journal.catchUp(0))
-    const { recordsFolded, bytesRead } = journal.counters()
+    const { recordsFolded, bytesRead } = journal.getCounters()
     rows.push({
       records: name,
       'catch-up us a record': Number((us / recordsFolded).toFixed(1)),
@@ -145,14 +145,14 @@
     for (const log of [atOnce, after5ms]) fillLog(log, names, turnsOfProgram, batchSize, smallText, largeText)
     const journal = await openJournal(atOnce, timers)
     await journal.catchUp(0)
-    const { reads, bytesRead } = journal.counters()
+    const { reads, bytesRead } = journal.getCounters()
     const us = await cpuUs(() => load(journal, names[0]!))
     rows.push({
       'records a batch': batchSize,
       'load ms of processor': Number((us / 1000).toFixed(1)),
       'load ms with reads of 5 ms': await loadMs(after5ms, timers, names[0]!),
-      reads: journal.counters().reads - reads,
-      'KB read': Math.round((journal.counters().bytesRead - bytesRead) / 1000)
+      reads: journal.getCounters().reads - reads,
+      'KB read': Math.round((journal.getCounters().bytesRead - bytesRead) / 1000)
     })
   }
   return rows
@@ -197,7 +197,7 @@
     journals.push(journal)
     const us = await cpuUs(() => journal.catchUp(0))
     const held = heapBytes() - before
-    const { reads, bytesRead, recordsFolded, heads } = journal.counters()
+    const { reads, bytesRead, recordsFolded, heads } = journal.getCounters()
     rows.push({
       'retention h': hours,
       'start ms': Math.round(us / 1000),
@@ -230,7 +230,7 @@
       }
       await timers.advanceAsync(1000)
       waits.sort((a, b) => a - b)
-      const { appends, records: sent, bytesWritten } = journal.counters()
+      const { appends, records: sent, bytesWritten } = journal.getCounters()
       rows.push({
         shards,
         'records a second': perSecond,
--- a/packages/state/config-state/src/fold.ts
+++ b/packages/state/config-state/src/fold.ts
@@ -186,7 +186,7 @@
 }
 
 /** Says that records before an offset have expired; without effect where the reader has had them. */
-export function skipTo (state: ConfigState, first: types.LogOffset): ConfigState {
+export function skipExpired (state: ConfigState, first: types.LogOffset): ConfigState {
   return first <= nextOffset(state) ? state : openGap(state, first, 'expired')
 }
 
