--- a/packages/state/follow-config/src/config-follower.ts
+++ b/packages/state/follow-config/src/config-follower.ts
@@ -16,9 +16,9 @@
 /** Who writes copies of the configuration before its records expire. */
 export interface CopySettings {
   /** Name in the records. */
-  readonly by: string
+  readonly author: string
   /** Whether this process writes them now; one process of the fleet should, more do no harm. */
-  readonly isMine: () => boolean
+  readonly isCopyWriter: () => boolean
 }
 
 export interface ConfigFollowerSettings {
@@ -135,7 +135,7 @@
     const next = configState.nextOffset(this.state)
     if (page.first > next) {
       this.settings.logger.error({ from: next, first: page.first }, 'configuration records have expired unread; a copy or a peer is needed')
-      this.replace(configState.skipTo(this.state, page.first))
+      this.replace(configState.skipExpired(this.state, page.first))
     }
     for (const record of page.records) {
       const { state, effect } = configState.applyRecord(this.state, record)
@@ -206,10 +206,10 @@
     const { copies, timers, log } = this.settings
     const now = timers.now() as types.EpochMs
     if (copies === undefined || now - this.lastCopyAt < copyRetryMs) return
-    if (!configState.needsCopy(this.state, now) || !copies.isMine()) return
+    if (!configState.needsCopy(this.state, now) || !copies.isCopyWriter()) return
     this.lastCopyAt = now
     const id = crypto.randomUUID() as string as configState.ChangeId
-    const copy = configState.makeCopy(this.state, { id, by: copies.by, at: now })
+    const copy = configState.makeCopy(this.state, { id, by: copies.author, at: now })
     // An append of unknown fate shows when the stream is read; until then the copy stays due.
     const appended = await log.append(configState.configStream, configState.encodeChange(copy))
     if (!appended.ok) this.settings.logger.warn({ failure: appended.failure }, 'copy of the configuration not confirmed')
--- a/packages/state/follow-records/src/record-follower.test.ts
+++ b/packages/state/follow-records/src/record-follower.test.ts
@@ -15,7 +15,7 @@
   let expired = false
   const log: shardLog.ShardLog = { ...inner, read: (request) => expired ? Promise.resolve({ type: 'expired' }) : inner.read(request) }
   const heard: string[] = []
-  const follower = new recordFollower.RecordFollower({ partition, pollMs: 100, waitMs: 0 }, { log, timers, decisions: decisionLog.createSilentDecisionLog() }, {
+  const follower = new recordFollower.RecordFollower({ partition, pollMs: 100, longPollMs: 0 }, { log, timers, decisions: decisionLog.createSilentDecisionLog() }, {
     onSnapshot: (records) => { heard.push(`all ${[...records.keys()].join()}`) },
     onPut: (key, value) => { heard.push(`put ${key}=${Buffer.from(value).toString()}`) },
     onRemove: (key) => { heard.push(`remove ${key}`) }
@@ -59,14 +59,14 @@
   const { timers, faults, heard, follower, write } = fixture()
   follower.start()
   await timers.advanceAsync(500)
-  t.equal(follower.sinceReturnMs(), Infinity)
+  t.equal(follower.sinceRecoveryMs(), Infinity)
   faults.refuse = true
   write('a', '1')
   await timers.advanceAsync(3_000)
   t.ok(follower.ageMs() >= 2_500)
   faults.refuse = false
   await timers.advanceAsync(400)
-  t.ok(follower.sinceReturnMs() < 500)
+  t.ok(follower.sinceRecoveryMs() < 500)
   t.equal(heard.at(-1), 'put a=1', 'nothing was missed')
   follower.stop()
 })
--- a/packages/state/follow-records/src/record-follower.ts
+++ b/packages/state/follow-records/src/record-follower.ts
@@ -9,7 +9,7 @@
   /** Pause between two reads, in ms. */
   readonly pollMs: number
   /** How long the store holds a read that finds nothing new, in ms. */
-  readonly waitMs: number
+  readonly longPollMs: number
 }
 
 /** What a follower needs from its process. */
@@ -56,7 +56,7 @@
   }
 
   /** Time since the store came back from an outage, in ms; infinite if there was none. */
-  sinceReturnMs (): number {
+  sinceRecoveryMs (): number {
     return this.ports.timers.monotonic() - this.returnedAt
   }
 
@@ -68,7 +68,7 @@
   }
 
   private async readOn (from: number): Promise<boolean> {
-    const page = await this.ports.log.read({ partition: this.settings.partition, from, waitMs: this.settings.waitMs })
+    const page = await this.ports.log.read({ partition: this.settings.partition, from, waitMs: this.settings.longPollMs })
     switch (page.type) {
       case 'records':
         this.noteAnswer()
@@ -111,7 +111,7 @@
 
   private noteAnswer (): void {
     const now = this.ports.timers.monotonic()
-    if (this.lastAnswerAt !== undefined && now - this.lastAnswerAt > outageMs + this.settings.waitMs) this.returnedAt = now
+    if (this.lastAnswerAt !== undefined && now - this.lastAnswerAt > outageMs + this.settings.longPollMs) this.returnedAt = now
     this.lastAnswerAt = now
     if (this.failing) this.ports.decisions.note({ event: 'storeBack', topic: this.settings.partition.topic })
     this.failing = false
--- a/packages/state/own-shards/src/owned-shard.ts
+++ b/packages/state/own-shards/src/owned-shard.ts
@@ -55,7 +55,7 @@
     const count = await this.loadAll()
     if (this.current !== 'opening' || count === undefined) return
     this.begun = true
-    const begun = await this.commit(this.ledger.begin(this.ports.timers.now() as types.EpochMs))
+    const begun = await this.commit(this.ledger.activateAllowance(this.ports.timers.now() as types.EpochMs))
     if (this.current !== 'opening' || begun.type === 'lost') return
     this.current = 'serving'
     const tookMs = Math.round(this.ports.timers.monotonic() - startedAt)
@@ -63,14 +63,14 @@
   }
 
   /** Resolves when the writes are stored, or the shard is lost. */
-  async commit (writes: readonly turnLedger.LedgerWrite[]): Promise<shardWriter.Commit> {
+  async commit (writes: readonly turnLedger.LedgerWrite[]): Promise<shardWriter.CommitOutcome> {
     const commit = await this.writer.commit(writes)
     if (commit.type === 'committed') this.ledger.noteStored(writes)
     return commit
   }
 
   /** Asks the store whether this process still owns the shard; what the ledger doesn't hold then doesn't exist. */
-  confirm (): Promise<shardWriter.Commit> {
+  confirmOwnership (): Promise<shardWriter.CommitOutcome> {
     return this.writer.commit([])
   }
 
@@ -117,7 +117,7 @@
   private async loadAll (): Promise<number | undefined> {
     try {
       const count = await this.load()
-      this.ledger.finishLoad()
+      this.ledger.extendLoadedChains()
       return count
     } catch (err) {
       this.ports.decisions.note({ event: 'shardUnreadable', partition: this.partition, epoch: this.epoch, err })
@@ -135,7 +135,7 @@
         await timerService.sleep(this.ports.timers, readRetryMs)
         continue
       }
-      for (const record of page.records) this.ledger.load(record.key, record.value)
+      for (const record of page.records) this.ledger.loadRecord(record.key, record.value)
       count += page.records.length
       if (page.after === undefined) return count
       after = page.after
--- a/packages/state/own-shards/src/ownership.test.ts
+++ b/packages/state/own-shards/src/ownership.test.ts
@@ -40,11 +40,11 @@
   readonly acknowledged = new Map<turnLedger.TurnId, types.ProgramId>()
 
   private start (at: number): shardOwner.ShardOwner {
-    const owner = new shardOwner.ShardOwner({ group: 'homes', member: names[at]!, topics: ['keyed.turns-0'], parts, leaseMs: 1_100, heartbeatMs: 300, ownersMs: 1_000, handoverMs: 900 }, {
+    const owner = new shardOwner.ShardOwner({ group: 'homes', member: names[at]!, topics: ['keyed.turns-0'], partitionsPerTopic: parts, leaseMs: 1_100, heartbeatMs: 300, ownersPollMs: 1_000, handoverTimeoutMs: 900 }, {
       log: this.store.client(this.faults[at]),
       timers: this.timers,
       decisions: decisionLog.createSilentDecisionLog(),
-      announce: () => { for (const other of this.owners) if (other !== owner) other?.joinNow() }
+      onShardsReleased: () => { for (const other of this.owners) if (other !== owner) other?.joinNow() }
     })
     owner.start()
     return owner
@@ -86,15 +86,15 @@
   /** Every process that thinks that it serves the program runs a turn: only appends that the store takes count. */
   private keepTurn (program: types.ProgramId): void {
     for (const owner of this.owners) {
-      const place = owner?.locate(owner.partitionOf(program))
+      const place = owner?.locate(owner.getPartition(program))
       if (place?.type !== 'here' || place.shard.state !== 'serving') continue
       const turn = `turn-${this.turns++}` as turnLedger.TurnId
       const request: turnLedger.TurnRequest = { turn, program, account: undefined, previous: undefined, maxTokens: 10, budgetTokens: undefined, keeps: true, retainMs: 600_000 }
-      const admission = place.shard.ledger.admit(request, now)
+      const admission = place.shard.ledger.admitTurn(request, now)
       if (admission.type !== 'admitted') continue
       void place.shard.commit(admission.writes).then(async (reserved) => {
         if (reserved.type === 'lost') return
-        const end = place.shard.ledger.end(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
+        const end = place.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
         const kept = await place.shard.commit(end.type === 'settled' ? end.writes : [])
         if (end.type === 'settled' && kept.type === 'committed') this.acknowledged.set(turn, program)
       })
@@ -112,10 +112,10 @@
 
   /** What is served now, and by how many. */
   check (): void {
-    const serving = this.owners.flatMap((owner) => owner?.serving() ?? [])
+    const serving = this.owners.flatMap((owner) => owner?.listServingShards() ?? [])
     assert.equal(serving.length, parts, 'each shard is served once')
     for (const [turn, program] of this.acknowledged) {
-      const place = this.owners.map((owner) => owner!.locate(owner!.partitionOf(program))).find(({ type }) => type === 'here')
+      const place = this.owners.map((owner) => owner!.locate(owner!.getPartition(program))).find(({ type }) => type === 'here')
       assert.ok(place?.type === 'here' && place.shard.ledger.exportChain(turn, undefined) !== undefined, `${turn} was acknowledged and is lost`)
     }
   }
--- a/packages/state/own-shards/src/shard-owner.test.ts
+++ b/packages/state/own-shards/src/shard-owner.test.ts
@@ -14,11 +14,11 @@
   const store = new standIns.MemoryShardLog(timers, parts)
   const owners: shardOwner.ShardOwner[] = []
   const start = (member: string, faults = standIns.noFaults()): shardOwner.ShardOwner => {
-    const owner = new shardOwner.ShardOwner({ group: 'homes', member, topics: ['keyed.turns-0'], parts, leaseMs: 1_100, heartbeatMs: 300, ownersMs: 1_000, handoverMs: 900 }, {
+    const owner = new shardOwner.ShardOwner({ group: 'homes', member, topics: ['keyed.turns-0'], partitionsPerTopic: parts, leaseMs: 1_100, heartbeatMs: 300, ownersPollMs: 1_000, handoverTimeoutMs: 900 }, {
       log: store.client(faults),
       timers,
       decisions: decisionLog.createSilentDecisionLog(),
-      announce: () => { for (const other of owners) if (other !== owner) other.joinNow() }
+      onShardsReleased: () => { for (const other of owners) if (other !== owner) other.joinNow() }
     })
     owners.push(owner)
     owner.start()
@@ -27,19 +27,19 @@
   return { timers, store, start }
 }
 
-const served = (owner: shardOwner.ShardOwner): number => owner.serving().length
+const served = (owner: shardOwner.ShardOwner): number => owner.listServingShards().length
 
 /** Keeps one turn of a program at an owner. */
 async function keepTurn (timers: timerService.ManualTimers, owner: shardOwner.ShardOwner, program: types.ProgramId, turn: string): Promise<string> {
-  const place = owner.locate(owner.partitionOf(program))
+  const place = owner.locate(owner.getPartition(program))
   if (place.type !== 'here') return place.type
   const request: turnLedger.TurnRequest = { turn: turn as turnLedger.TurnId, program, account: undefined, previous: undefined, maxTokens: 10, budgetTokens: undefined, keeps: true, retainMs: 60_000 }
-  const admission = place.shard.ledger.admit(request, now)
+  const admission = place.shard.ledger.admitTurn(request, now)
   if (admission.type !== 'admitted') return admission.type
   const reserved = place.shard.commit(admission.writes)
   await timers.advanceAsync(20)
   if ((await reserved).type === 'lost') return 'lost'
-  const end = place.shard.ledger.end(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
+  const end = place.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
   const kept = place.shard.commit(end.type === 'settled' ? end.writes : [])
   await timers.advanceAsync(20)
   return (await kept).type
@@ -60,13 +60,13 @@
   const b = start('b')
   await timers.advanceAsync(3_000)
   const programs = Array.from({ length: 20 }, (_, at) => `program-${at}` as types.ProgramId)
-  const atA = programs.filter((program) => a.locate(a.partitionOf(program)).type === 'here')
+  const atA = programs.filter((program) => a.locate(a.getPartition(program)).type === 'here')
   for (const program of atA) t.equal(await keepTurn(timers, a, program, `turn-${program}`), 'committed')
   a.close()
   await timers.advanceAsync(2_000)
   t.equal(served(b), parts)
   for (const program of atA) {
-    const place = b.locate(b.partitionOf(program))
+    const place = b.locate(b.getPartition(program))
     t.ok(place.type === 'here' && place.shard.ledger.exportChain(`turn-${program}` as turnLedger.TurnId, undefined))
   }
 })
@@ -88,7 +88,7 @@
   const a = start('a', faults)
   const b = start('b')
   await timers.advanceAsync(3_000)
-  const program = Array.from({ length: 20 }, (_, at) => `program-${at}` as types.ProgramId).find((id) => a.locate(a.partitionOf(id)).type === 'here')!
+  const program = Array.from({ length: 20 }, (_, at) => `program-${at}` as types.ProgramId).find((id) => a.locate(a.getPartition(id)).type === 'here')!
   faults.silent = true
   void b.evict('a', 'ended')
   await timers.advanceAsync(1_000)
--- a/packages/state/own-shards/src/shard-owner.ts
+++ b/packages/state/own-shards/src/shard-owner.ts
@@ -13,28 +13,28 @@
   readonly member: string
   readonly topics: readonly string[]
   /** Partitions of each topic. */
-  readonly parts: number
+  readonly partitionsPerTopic: number
   /** Lease of a member that falls silent, in ms. */
   readonly leaseMs: number
   /** Time between two renewals of the lease, in ms. */
   readonly heartbeatMs: number
   /** Time between two looks at who owns what, in ms. */
-  readonly ownersMs: number
+  readonly ownersPollMs: number
   /** The longest that a handover waits for the store's last answers, in ms. */
-  readonly handoverMs: number
+  readonly handoverTimeoutMs: number
 }
 
 /** What the owner needs from its process. */
 export interface ShardOwnerPorts {
   /** Tells the other members that shards have become free, so that they need not wait for their next heartbeat. */
-  readonly announce: () => void
+  readonly onShardsReleased: () => void
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
 /** Where the programs of a shard are served. */
-export type Location =
+export type ShardLocation =
   | { readonly type: 'here', readonly shard: ownedShard.OwnedShard }
   | { readonly type: 'member', readonly member: string }
   /** Nobody is known to own it now. */
@@ -76,7 +76,7 @@
     void this.join()
     this.subscriptions = [
       timers.every(this.settings.heartbeatMs, () => { void this.join() }),
-      timers.every(this.settings.ownersMs, () => { void this.refreshOwners() }),
+      timers.every(this.settings.ownersPollMs, () => { void this.refreshOwners() }),
       timers.every(expireMs, () => { this.expire() })
     ]
     void this.refreshOwners()
@@ -90,13 +90,13 @@
   }
 
   /** The shard that a program belongs to. */
-  partitionOf (program: types.ProgramId): shardLog.Partition {
-    const { topics, parts } = this.settings
+  getPartition (program: types.ProgramId): shardLog.Partition {
+    const { topics, partitionsPerTopic: parts } = this.settings
     const index = hashText.hashText(program) % (topics.length * parts)
     return { topic: topics[Math.floor(index / parts)]!, part: index % parts }
   }
 
-  locate (partition: shardLog.Partition): Location {
+  locate (partition: shardLog.Partition): ShardLocation {
     const name = shardLog.partitionName(partition)
     const shard = this.owned.get(name)
     if (shard !== undefined && shard.state !== 'lost') return { type: 'here', shard }
@@ -106,7 +106,7 @@
   }
 
   /** The shards that this process serves now. */
-  serving (): ownedShard.OwnedShard[] {
+  listServingShards (): ownedShard.OwnedShard[] {
     return [...this.owned.values()].filter((shard) => shard.state === 'serving')
   }
 
@@ -119,11 +119,11 @@
   }
 
   get shardCount (): number {
-    return this.settings.topics.length * this.settings.parts
+    return this.settings.topics.length * this.settings.partitionsPerTopic
   }
 
   /** Every member that is known to own a shard. */
-  members (): string[] {
+  listMembers (): string[] {
     return [...new Set(this.owners.values())]
   }
 
@@ -158,8 +158,8 @@
    * is silent: its shards move at once instead of after the lease. Fencing keeps this safe if it was wrong.
    */
   async evict (member: string, why: 'ended' | 'silent'): Promise<void> {
-    const { timers, log, decisions, announce } = this.ports
-    if (this.wasEvicted(member)) return
+    const { timers, log, decisions, onShardsReleased: announce } = this.ports
+    if (this.hasRecentlyEvicted(member)) return
     this.evictedAt.set(member, timers.monotonic())
     const left = await log.leave(this.settings.group, member)
     decisions.note({ event: 'memberEvicted', member, why, outcome: left.type })
@@ -168,7 +168,7 @@
   }
 
   /** Whether the lease of a member was given back just now, so that its shards are about to move. */
-  wasEvicted (member: string): boolean {
+  hasRecentlyEvicted (member: string): boolean {
     return this.ports.timers.monotonic() < (this.evictedAt.get(member) ?? -Infinity) + this.settings.leaseMs
   }
 
@@ -184,7 +184,7 @@
   }
 
   /** Gives every shard up until `standUp`: this process can't be reached by the others. Turns under way get the time given, in ms. */
-  async standDown (graceMs: number): Promise<void> {
+  async suspend (graceMs: number): Promise<void> {
     this.away = true
     for (const shard of this.owned.values()) shard.refuseNew()
     await timerService.sleep(this.ports.timers, graceMs)
@@ -192,18 +192,18 @@
     if (!this.stopped) await this.handAllOver()
   }
 
-  standUp (): void {
+  resume (): void {
     this.away = false
     void this.join()
   }
 
   /** New turns go elsewhere, those under way end here and are settled with the next owners. */
   private async handAllOver (): Promise<void> {
-    await Promise.all([...this.owned.values()].map((shard) => shard.handOver(this.settings.handoverMs)))
+    await Promise.all([...this.owned.values()].map((shard) => shard.handOver(this.settings.handoverTimeoutMs)))
     this.owned.clear()
     const left = await this.ports.log.leave(this.settings.group, this.settings.member)
     this.ports.decisions.note({ event: 'groupLeft', outcome: left.type })
-    this.ports.announce()
+    this.ports.onShardsReleased()
     this.ownersAt = -Infinity
     await this.refreshOwners()
   }
@@ -217,7 +217,7 @@
     if (this.stopped || this.away) return
     if (answer.type === 'assigned' && this.announceAfterJoin) {
       this.announceAfterJoin = false
-      this.ports.announce()
+      this.ports.onShardsReleased()
     }
     if (answer.type !== 'assigned') {
       this.ports.decisions.note({ event: 'leaseNotRenewed', failure: answer })
@@ -246,7 +246,7 @@
   private async handOver (gone: readonly (readonly [shardLog.PartitionName, ownedShard.OwnedShard])[]): Promise<void> {
     this.joining = true
     await Promise.all(gone.map(async ([name, shard]) => {
-      await shard.handOver(this.settings.handoverMs)
+      await shard.handOver(this.settings.handoverTimeoutMs)
       if (this.owned.get(name) === shard) this.owned.delete(name)
     }))
     this.joining = false
--- a/packages/state/own-shards/src/shard-writer.ts
+++ b/packages/state/own-shards/src/shard-writer.ts
@@ -4,7 +4,7 @@
 import * as timerService from '@eelgrasswind/timer-service'
 
 /** Whether records are durable. */
-export type Commit =
+export type CommitOutcome =
   | { readonly type: 'committed' }
   /** Another owner has taken the shard, or this one gave it up: the records are not stored. */
   | { readonly type: 'lost' }
@@ -20,7 +20,7 @@
 
 interface Waiting {
   readonly records: readonly shardLog.KeyedRecord[]
-  readonly resolve: (commit: Commit) => void
+  readonly resolve: (commit: CommitOutcome) => void
 }
 
 /** Pause before a refused or unanswered append is repeated, in ms: a few store answers long, so that an outage costs few calls. */
@@ -45,12 +45,12 @@
   ) {}
 
   /** Fences every former writer; nothing may be read or written before it is done. */
-  async open (): Promise<Commit> {
+  async open (): Promise<CommitOutcome> {
     return this.commit([])
   }
 
   /** Resolves when the records are durable. No records: resolves when the store has confirmed this writer. */
-  commit (records: readonly shardLog.KeyedRecord[]): Promise<Commit> {
+  commit (records: readonly shardLog.KeyedRecord[]): Promise<CommitOutcome> {
     if (this.closed) return Promise.resolve({ type: 'lost' })
     return new Promise((resolve) => {
       this.waiting.push({ records, resolve })
@@ -93,7 +93,7 @@
   }
 
   /** Repeats the same append until the store has answered it: its sequence number keeps it from being stored twice. */
-  private async appendBatch (batch: readonly Waiting[]): Promise<Commit> {
+  private async appendBatch (batch: readonly Waiting[]): Promise<CommitOutcome> {
     const request: shardLog.FencedAppend = {
       partition: this.partition,
       epoch: this.epoch,
@@ -118,13 +118,13 @@
     return { type: 'lost' }
   }
 
-  private lose (reason: string): Commit {
+  private lose (reason: string): CommitOutcome {
     this.close()
     this.ports.onLost(reason)
     return { type: 'lost' }
   }
 
-  private settle (batch: readonly Waiting[], commit: Commit): void {
+  private settle (batch: readonly Waiting[], commit: CommitOutcome): void {
     for (const { resolve } of batch) resolve(commit)
   }
 }
--- a/packages/state/program-state/src/allowance.test.ts
+++ b/packages/state/program-state/src/allowance.test.ts
@@ -10,15 +10,15 @@
 function fold (all: readonly types.JournalRecord[]): states.ProgramState {
   let view: states.ProgramView | undefined
   all.forEach((record, index) => { view = states.applyRecord(view, record, records.term(index + 1)).view })
-  return states.completeState(view)!
+  return states.getCompleteState(view)!
 }
 
 tap.test('a claim counts the allowance of the home before it as spent, once', async (t) => {
   const begun = { ...records.begin(), allowance }
   const state = fold([begun, records.claim(2, 1)])
-  t.same(queries.spent(state), allowance)
+  t.same(queries.computeSpent(state), allowance)
   t.same(state.allowance, { tokens: 0, calls: 0, microCost: 0 })
-  t.same(queries.spent(fold([begun, records.claim(2, 1), records.claim(3, 2, records.homeA)])), allowance)
+  t.same(queries.computeSpent(fold([begun, records.claim(2, 1), records.claim(3, 2, records.homeA)])), allowance)
 })
 
 tap.test('a turn may change the allowance, an allow record replaces it', async (t) => {
@@ -51,7 +51,7 @@
       all.push(records.claim(all.length + 1, term))
       term = all.length
     }
-    const spent = queries.spent(fold(all)).tokens
+    const spent = queries.computeSpent(fold(all)).tokens
     if (spent < used) throw new Error(`${spent} counted as spent, ${used} used`)
   }), { seed: 7, numRuns: 500 })
   t.pass('500 histories')
--- a/packages/state/program-state/src/chain.ts
+++ b/packages/state/program-state/src/chain.ts
@@ -54,7 +54,7 @@
   /** Log time of the last record that took effect. */
   lastAt: types.EpochMs
   /** Whether this is known to equal the fold from the program's begin. */
-  complete: boolean
+  isComplete: boolean
 }
 
 /** What a reader knows of one program. Owned by the fold, which changes it in place. */
@@ -84,13 +84,13 @@
 
 /** The chain fields of a program's first record. */
 export function firstPoint (record: types.BeginRecord, position: types.Term, at: types.EpochMs): ChainPoint {
-  return { term: position, n: 1, home: record.home, finished: null, lastAt: at, complete: false }
+  return { term: position, n: 1, home: record.home, finished: null, lastAt: at, isComplete: false }
 }
 
 /** The chain fields of a snapshot. */
 export function restoredPoint (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs): ChainPoint {
   const { home, finished } = record.state
-  return { term: position, n: record.n, home, finished, lastAt: at, complete: false }
+  return { term: position, n: record.n, home, finished, lastAt: at, isComplete: false }
 }
 
 /** Applies one record to what is known of its program. Changes `chain` in place. */
@@ -164,7 +164,7 @@
 }
 
 function settleOn<P extends ChainPoint> (chain: Chain<P>, point: P): void {
-  point.complete = true
+  point.isComplete = true
   chain.current = point
   chain.candidates = none
 }
--- a/packages/state/program-state/src/fold.test.ts
+++ b/packages/state/program-state/src/fold.test.ts
@@ -13,8 +13,8 @@
 
 /** What a reader knows, as plain data; undefined where it says incomplete. */
 function plain (view: programState.ProgramView | undefined): unknown {
-  const state = programState.completeState(view)
-  return state && { ...programState.snapshotOf(state), n: state.n, spent: programState.spent(state) }
+  const state = programState.getCompleteState(view)
+  return state && { ...programState.createSnapshot(state), n: state.n, spent: programState.computeSpent(state) }
 }
 
 tap.test('every reader ends with the same state', async (t) => {
@@ -110,7 +110,7 @@
   let turns = 0
   holds(t, ({ log }) => {
     for (const view of writers.readAll(log).values()) {
-      const state = programState.completeState(view)!
+      const state = programState.getCompleteState(view)!
       for (const branch of writers.branches) {
         const calls = [...state.turns, ...state.intents.values()].filter((call) => call.branch === branch)
         const seqs = calls.map(({ seq }) => seq)
@@ -126,10 +126,10 @@
 tap.test('the budget counts each turn and each open intent once', async (t) => {
   holds(t, ({ log }) => {
     for (const view of writers.readAll(log).values()) {
-      const state = programState.completeState(view)!
+      const state = programState.getCompleteState(view)!
       const parts = [...state.turns.map(({ usage }) => usage), ...[...state.intents.values()].map(({ reserved }) => reserved), state.forfeited]
       const sum = (member: keyof types.Usage) => parts.reduce((total, part) => total + part[member], 0)
-      assert.deepEqual(programState.spent(state), { tokens: sum('tokens'), calls: sum('calls'), microCost: sum('microCost') })
+      assert.deepEqual(programState.computeSpent(state), { tokens: sum('tokens'), calls: sum('calls'), microCost: sum('microCost') })
     }
   })
 })
@@ -140,7 +140,7 @@
     for (const program of writers.programs) {
       const own = log.map(({ batch, at }) => ({ at, batch: batch.filter((record) => record.program === program) }))
       assert.deepEqual(plain(together.get(program)), plain(writers.readAll(own).get(program)))
-      const state = programState.completeState(together.get(program))
+      const state = programState.getCompleteState(together.get(program))
       for (const { key } of state?.turns ?? []) assert.ok(key.startsWith(program))
     }
   })
--- a/packages/state/program-state/src/program-state.test.ts
+++ b/packages/state/program-state/src/program-state.test.ts
@@ -14,13 +14,13 @@
     view = step.view
     effects.push(step.effect.type === 'void' ? step.effect.reason : step.effect.type)
   }
-  return { state: programState.completeState(view), effects }
+  return { state: programState.getCompleteState(view), effects }
 }
 
 tap.test('a begin and its turns make the history', async (t) => {
   const { state, effects } = fold([begin(), turn(2, 10, turnOf(1, 'k1')), turn(3, 10, turnOf(2, 'k2')), finish(4, 10)])
   t.same(effects, ['applied', 'applied', 'applied', 'applied'])
-  t.match(state, { term: 10, n: 4, home: homeA, at: 1000, finished: 'done', complete: true })
+  t.match(state, { term: 10, n: 4, home: homeA, at: 1000, finished: 'done', isComplete: true })
   t.same(state!.turns.map(({ key, seq }) => [key, seq]), [['k1', 1], ['k2', 2]])
 })
 
@@ -53,9 +53,9 @@
     turn(6, 10, turnOf(2, 'k2'))
   ])
   t.same(effects, ['applied', 'wrongSeq', 'applied', 'keyUsed', 'applied', 'applied'])
-  t.equal(programState.nextSeq(state!, main), 3)
-  t.equal(programState.nextSeq(state!, other.branch), 2)
-  t.equal(programState.nextSeq(state!, 'new' as types.BranchId), 1)
+  t.equal(programState.getNextSeq(state!, main), 3)
+  t.equal(programState.getNextSeq(state!, other.branch), 2)
+  t.equal(programState.getNextSeq(state!, 'new' as types.BranchId), 1)
 })
 
 tap.test('an intent holds its place until its turn', async (t) => {
@@ -76,12 +76,12 @@
 
 tap.test('a settle frees the place and the reservation', async (t) => {
   const open = fold([begin(), intent(2, 10, 1, 'k1')]).state!
-  t.equal(programState.nextSeq(open, main), 2)
-  t.same(programState.spent(open), { tokens: 0, calls: 1, microCost: 100 })
+  t.equal(programState.getNextSeq(open, main), 2)
+  t.same(programState.computeSpent(open), { tokens: 0, calls: 1, microCost: 100 })
   const { state, effects } = fold([begin(), intent(2, 10, 1, 'k1'), settle(3, 10, 'k1'), settle(4, 10, 'k1')])
   t.same(effects, ['applied', 'applied', 'applied', 'noIntent'])
-  t.equal(programState.nextSeq(state!, main), 1)
-  t.same(programState.spent(state!), { tokens: 0, calls: 0, microCost: 0 })
+  t.equal(programState.getNextSeq(state!, main), 1)
+  t.same(programState.computeSpent(state!), { tokens: 0, calls: 0, microCost: 0 })
 })
 
 tap.test('nothing counts after a finish', async (t) => {
@@ -108,13 +108,13 @@
     })),
     turn(5, 10, turnOf(4, 'k4'))
   ])
-  t.same(programState.messagesOf(state!, main).map(({ content }) => content), ['k1', 'answer to k1', 'k4', 'answer to k4'])
+  t.same(programState.collectMessages(state!, main).map(({ content }) => content), ['k1', 'answer to k1', 'k4', 'answer to k4'])
   t.equal(programState.historyOf(state!).turns.length, 4)
 })
 
 tap.test('a snapshot of a known program makes a new term only', async (t) => {
   const chain = [begin(), turn(2, 10, turnOf(1, 'k1')), intent(3, 10, 2, 'k2')]
-  const before = programState.snapshotOf(fold(chain).state!)
+  const before = programState.createSnapshot(fold(chain).state!)
   const { state, effects } = fold([...chain, records.snapshot(4, before), turn(5, 40, turnOf(2, 'k2'))])
   t.same(effects.slice(3), ['applied', 'applied'])
   t.match(state, { n: 5, term: 40 })
@@ -122,7 +122,7 @@
 })
 
 tap.test('a snapshot that tells another story marks the program', async (t) => {
-  const before = programState.snapshotOf(fold([begin(), turn(2, 10, turnOf(1, 'k1'))]).state!)
+  const before = programState.createSnapshot(fold([begin(), turn(2, 10, turnOf(1, 'k1'))]).state!)
   const { state, effects } = fold([begin(), turn(2, 10, turnOf(1, 'k9')), records.snapshot(3, before)])
   t.same(effects, ['applied', 'applied', 'incomplete'])
   t.equal(state, undefined)
@@ -130,13 +130,13 @@
 
 tap.test('a late reader trusts a snapshot once a record bears its term', async (t) => {
   const late = { at: 0 as types.EpochMs, since: 0 as types.EpochMs, rules: programState.wholeStream.rules }
-  const before = programState.snapshotOf(fold([begin(), turn(2, 10, turnOf(1, 'k1'))]).state!)
+  const before = programState.createSnapshot(fold([begin(), turn(2, 10, turnOf(1, 'k1'))]).state!)
   const alone = fold([turn(2, 10, turnOf(1, 'k1')), records.snapshot(3, before)], late)
   t.same(alone, { state: undefined, effects: ['incomplete', 'incomplete'] })
   const confirmed = fold([turn(2, 10, turnOf(1, 'k1')), records.snapshot(3, before), turn(4, 20, turnOf(2, 'k2'))], late)
   t.same(confirmed.effects, ['incomplete', 'incomplete', 'applied'])
   t.same(confirmed.state!.turns.map(({ key }) => key), ['k1', 'k2'])
-  t.same(programState.spent(confirmed.state!), { tokens: 20, calls: 2, microCost: 4 })
+  t.same(programState.computeSpent(confirmed.state!), { tokens: 20, calls: 2, microCost: 4 })
 })
 
 tap.test('an id may be begun again after its time, and a late begin is void', async (t) => {
@@ -149,13 +149,13 @@
   t.match(programState.applyRecord(ended.view, later, term(40), at(5499)).effect, { reason: 'finished' })
   const again = programState.applyRecord(ended.view, later, term(50), at(5500))
   t.match(again.effect, { type: 'applied' })
-  t.match(programState.completeState(again.view), { term: 50, n: 1, home: homeB, finished: null })
+  t.match(programState.getCompleteState(again.view), { term: 50, n: 1, home: homeB, finished: null })
 })
 
 tap.test('a copy of the state stays as it was', async (t) => {
   const first = programState.applyRecord(undefined, begin(), term(10))
-  const state = programState.completeState(first.view)!
-  const copy = programState.snapshotOf(state)
+  const state = programState.getCompleteState(first.view)!
+  const copy = programState.createSnapshot(state)
   programState.applyRecord(first.view, turn(2, 10, turnOf(1, 'k1')), term(20))
   t.equal(copy.turns.length, 0)
   t.equal(state.turns.length, 1)
@@ -164,7 +164,7 @@
 tap.test('batches come back as they were written', async (t) => {
   const extra = { role: 'user', content: [{ type: 'text', text: 'é' }], name: 'coach', custom: { a: null } }
   const target: types.CallTarget = { type: 'model', model: 'm' as types.ModelId, messages: [extra], maxTokens: 5, options: { top_p: 0.5 } }
-  const before = programState.snapshotOf(fold([begin(), turn(2, 10, turnOf(1, 'k1', { target })), intent(3, 10, 2, 'k2')]).state!)
+  const before = programState.createSnapshot(fold([begin(), turn(2, 10, turnOf(1, 'k1', { target })), intent(3, 10, 2, 'k2')]).state!)
   const batch = [begin(), claim(2, 10), intent(3, 20, 1, 'k1'), settle(4, 20, 'k1'), turn(5, 20, turnOf(1, 'k2', { target })), records.snapshot(6, before), finish(7, 60)]
   const parsed = programState.parseBatch(programState.encodeBatch(batch))
   t.same(parsed, { ok: true, value: { format: 1, records: batch } })
@@ -191,8 +191,8 @@
   const call = { branch: main, seq: 1, idempotent: true, target: records.modelTarget('hello') }
   const target = { options: {}, maxTokens: 50, messages: [{ content: 'hello', role: 'user' }], model: 'm' as types.ModelId, type: 'model' as const }
   const reordered = { target, idempotent: true, seq: 1, branch: main }
-  t.equal(programState.requestDigest(call), programState.requestDigest(reordered))
-  t.match(programState.requestDigest(call), /^[0-9a-f]{64}$/)
-  t.not(programState.requestDigest(call), programState.requestDigest({ ...call, seq: 2 }))
-  t.not(programState.requestDigest(call), programState.requestDigest({ ...call, target: records.modelTarget('hullo') }))
+  t.equal(programState.computeRequestDigest(call), programState.computeRequestDigest(reordered))
+  t.match(programState.computeRequestDigest(call), /^[0-9a-f]{64}$/)
+  t.not(programState.computeRequestDigest(call), programState.computeRequestDigest({ ...call, seq: 2 }))
+  t.not(programState.computeRequestDigest(call), programState.computeRequestDigest({ ...call, target: records.modelTarget('hullo') }))
 })
--- a/packages/state/program-state/src/queries.ts
+++ b/packages/state/program-state/src/queries.ts
@@ -4,7 +4,7 @@
 import type * as states from './state.js'
 
 /** The sequence number of the next new call of a branch; an open intent occupies its place. */
-export function nextSeq (state: states.ProgramState, branch: types.BranchId): number {
+export function getNextSeq (state: states.ProgramState, branch: types.BranchId): number {
   const known = state.branches.get(branch)
   if (known === undefined) return 1
   return known.turns.length + (known.open === undefined ? 1 : 2)
@@ -25,7 +25,7 @@
  * model call, then its answer. A failed call keeps its place in the history but adds nothing here, as its
  * caller repeats the messages in the next call; a service call adds nothing, as its caller sends the result.
  */
-export function messagesOf (state: states.ProgramState, branch: types.BranchId): types.ChatMessage[] {
+export function collectMessages (state: states.ProgramState, branch: types.BranchId): types.ChatMessage[] {
   const messages: types.ChatMessage[] = []
   for (const { target, outcome } of state.branches.get(branch)?.turns ?? []) {
     if (target.type !== 'model' || outcome.type !== 'message') continue
@@ -36,7 +36,7 @@
 }
 
 /** What counts against the budget: finished calls, and as if spent the reservations of open intents and the allowances of earlier homes. */
-export function spent (state: states.ProgramState): types.Usage {
+export function computeSpent (state: states.ProgramState): types.Usage {
   return usages.add(usages.add(state.used, state.reserved), state.forfeited)
 }
 
@@ -46,7 +46,7 @@
  */
 export function remaining (state: states.ProgramState, reserved: types.Usage, now: types.EpochMs): types.Budget {
   const { budget } = state.start
-  const total = usages.add(spent(state), reserved)
+  const total = usages.add(computeSpent(state), reserved)
   return {
     tokens: Math.max(0, budget.tokens - total.tokens),
     calls: Math.max(0, budget.calls - total.calls),
@@ -73,7 +73,7 @@
     at: state.at,
     turns: [...state.turns],
     intents: [...state.intents.values()],
-    spent: spent(state),
+    spent: computeSpent(state),
     finished: state.finished
   }
 }
--- a/packages/state/program-state/src/request-digest.ts
+++ b/packages/state/program-state/src/request-digest.ts
@@ -3,7 +3,7 @@
 import type * as types from '@eelgrasswind/types'
 
 /** SHA-256 in hex of the parts of a call that a repeat must share; its timeout may differ. */
-export function requestDigest (call: Pick<types.Call, 'branch' | 'seq' | 'idempotent' | 'target'>): string {
+export function computeRequestDigest (call: Pick<types.Call, 'branch' | 'seq' | 'idempotent' | 'target'>): string {
   const { branch, seq, idempotent, target } = call
   return crypto.createHash('sha256').update(canonicalJson({ branch, seq, idempotent, target })).digest('hex')
 }
--- a/packages/state/program-state/src/state.ts
+++ b/packages/state/program-state/src/state.ts
@@ -65,17 +65,17 @@
 export function viewFrom (record: types.JournalRecord, position: types.Term, at: types.EpochMs): ProgramView | undefined {
   if (record.type !== 'begin' && record.type !== 'snapshot') return undefined
   const state = record.type === 'begin' ? stateFromBegin(record, position, at) : stateFromSnapshot(record, position, at)
-  state.complete = true
+  state.isComplete = true
   return { program: record.program, current: state, candidates: [], seenAt: at }
 }
 
 /** The state, where the reader knows the whole of it. */
-export function completeState (view: ProgramView | undefined): ProgramState | undefined {
-  return view?.current?.complete === true ? view.current : undefined
+export function getCompleteState (view: ProgramView | undefined): ProgramState | undefined {
+  return view?.current?.isComplete === true ? view.current : undefined
 }
 
 /** A copy of the whole state that later records don't change. */
-export function snapshotOf (state: ProgramState): types.SnapshotState {
+export function createSnapshot (state: ProgramState): types.SnapshotState {
   return {
     start: state.start,
     home: state.home,
@@ -115,7 +115,7 @@
     home: point.home,
     finished: point.finished,
     lastAt: point.lastAt,
-    complete: point.complete,
+    isComplete: point.isComplete,
     start,
     at,
     turns: [],
@@ -197,9 +197,9 @@
 
 /** A snapshot of a known program changes nothing; one that tells another story marks the program as incomplete. */
 function checkSnapshot (state: ProgramState, record: types.SnapshotRecord): effects.Effect {
-  const expected = { ...snapshotOf(state), term: record.term }
+  const expected = { ...createSnapshot(state), term: record.term }
   if (util.isDeepStrictEqual(plain(expected), plain(record.state))) return effects.applied
-  state.complete = false
+  state.isComplete = false
   return effects.incomplete
 }
 
--- a/packages/state/program-state/src/test-writers.ts
+++ b/packages/state/program-state/src/test-writers.ts
@@ -127,7 +127,7 @@
 
 /** A record that makes sense to the writer, or now and then doesn't. */
 function nextRecord (world: World, writer: Writer, program: types.ProgramId, pick: number): types.JournalRecord | undefined {
-  const state = programState.completeState(writer.views.get(program))
+  const state = programState.getCompleteState(writer.views.get(program))
   const at = world.now as types.EpochMs
   if (state === undefined ? pick % 3 === 0 : pick % 50 === 0) {
     const start = { ...records.begin().start, program }
@@ -147,13 +147,13 @@
   state: programState.ProgramState, base: Pick<types.JournalRecord, 'program' | 'n' | 'term'>, waiting: number, pick: number, made: number
 ): types.JournalRecord {
   const branch = branches[state.turns.length % 3 === 0 ? 1 : 0]!
-  const seq = programState.nextSeq(state, branch) + waiting
+  const seq = programState.getNextSeq(state, branch) + waiting
   const open = [...state.intents.values()][0]
   const name = `${base.program}/${made}`
   const turn = records.turnOf(seq, name, { branch, usage: { tokens: seq, calls: 1, microCost: 3 } })
   const usedKey = state.turns[0] && { key: state.turns[0].key }
   switch (pick % 11) {
-    case 0: return waiting === 0 ? { ...base, type: 'snapshot', state: programState.snapshotOf(state) } : { ...base, type: 'turn', turn }
+    case 0: return waiting === 0 ? { ...base, type: 'snapshot', state: programState.createSnapshot(state) } : { ...base, type: 'turn', turn }
     case 1: return made % 4 === 0 ? { ...base, type: 'finish', result: 'done', at: records.at(made) } : { ...base, type: 'turn', turn }
     case 2: return { ...records.intent(base.n, base.term, seq, name), ...base, branch, seq: Math.max(1, seq - made % 2), ...made % 3 === 0 && usedKey }
     case 3: return open === undefined ? { ...base, type: 'turn', turn } : { ...base, type: 'settle', key: open.key, verdict: 'notRun' }
--- a/packages/state/relay-store/src/relayed-log.test.ts
+++ b/packages/state/relay-store/src/relayed-log.test.ts
@@ -14,7 +14,7 @@
   const asked: string[] = []
   const peers = new Map(peerFaults.map((faults, index) => [`peer-${index}`, store.client(faults)]))
   const relay = new relayedLog.RelayedLog({
-    direct: store.client(own),
+    directLog: store.client(own),
     peers: () => [...peers.keys()],
     callPeer: (address, call) => {
       asked.push(address)
--- a/packages/state/relay-store/src/relayed-log.ts
+++ b/packages/state/relay-store/src/relayed-log.ts
@@ -10,7 +10,7 @@
 /** The store, and the peers that may stand in for the way to it. */
 export interface RelayPorts {
   /** The store itself. */
-  readonly direct: shardLog.ShardLog
+  readonly directLog: shardLog.ShardLog
   /** Addresses of processes that may be asked, in any order. */
   readonly peers: () => readonly string[]
   /** Has a peer make the call; `undefined` where the peer gave no answer. */
@@ -40,7 +40,7 @@
       const answer = await this.ask(this.peer, call)
       if (answer !== undefined) return answer
     }
-    const answer = await shardLog.runStoreCall(this.ports.direct, call)
+    const answer = await shardLog.runStoreCall(this.ports.directLog, call)
     if (shardLog.isUnserved(answer)) return this.relay(call, answer)
     if (this.peer !== undefined) this.ports.decisions.note({ event: 'storeDirect', peer: this.peer })
     this.peer = undefined
--- a/packages/state/share-load/src/load-sharer.ts
+++ b/packages/state/share-load/src/load-sharer.ts
@@ -13,7 +13,7 @@
   /** Addresses of the other processes that are known otherwise, IP:PORT; those that sent a report are added. */
   readonly peers: () => readonly string[]
   /** Another process reports marks. */
-  readonly onMarks: (marks: readonly trackUpstreams.MarkReport[]) => void
+  readonly onMarksReceived: (marks: readonly trackUpstreams.MarkReport[]) => void
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
@@ -75,7 +75,7 @@
   }
 
   /** Something went wrong with one request; the others hear of it with the next datagram. */
-  mark (upstream: types.UpstreamId, mark: trackUpstreams.Mark): void {
+  recordMark (upstream: types.UpstreamId, mark: trackUpstreams.Mark): void {
     this.marks.at(-1)!.push({ upstream, mark, count: 1 })
   }
 
@@ -96,7 +96,7 @@
 
   private running (): trackUpstreams.RunningCounts {
     const running = new Map<types.UpstreamId, number>()
-    for (const upstream of this.ports.upstreams.all()) {
+    for (const upstream of this.ports.upstreams.getAll()) {
       if (upstream.running > 0) running.set(upstream.listed.id, upstream.running)
     }
     return running
@@ -139,8 +139,8 @@
   private receive (bytes: Buffer, from: string): void {
     try {
       const { running, marks } = loadMessage.decodeLoad(bytes)
-      this.ports.loads.report(from, running, this.ports.timers.monotonic())
-      if (marks.length > 0) this.ports.onMarks(marks)
+      this.ports.loads.applyReport(from, running, this.ports.timers.monotonic())
+      if (marks.length > 0) this.ports.onMarksReceived(marks)
     } catch (err) {
       this.ports.decisions.note({ event: 'loadReportUnreadable', from, err })
     }
--- a/packages/state/share-load/src/share-load.test.ts
+++ b/packages/state/share-load/src/share-load.test.ts
@@ -54,7 +54,7 @@
     upstreams,
     loads,
     peers: () => peers,
-    onMarks: (found) => { marks.push(...found) },
+    onMarksReceived: (found) => { marks.push(...found) },
     timers,
     decisions: { note: ({ event }) => { noted.push(event) } } satisfies decisionLog.DecisionLog
   })
@@ -73,14 +73,14 @@
   const one = await startSharer(t, first, [`127.0.0.1:${second}`], timers)
   const two = await startSharer(t, second, [], timers)
   one.upstreams.get(id('a'))!.running = 2
-  one.sharer.mark(id('a'), 'failed')
-  one.sharer.mark(id('a'), 'failed')
+  one.sharer.recordMark(id('a'), 'failed')
+  one.sharer.recordMark(id('a'), 'failed')
   timers.advance(400)
-  await until(() => two.loads.running(id('a')) === 2)
+  await until(() => two.loads.getRunning(id('a')) === 2)
   t.same(two.marks, [{ upstream: 'a', mark: 'failed', count: 2 }])
   two.upstreams.get(id('a'))!.running = 1
   timers.advance(400)
-  await until(() => one.loads.running(id('a')) === 1)
+  await until(() => one.loads.getRunning(id('a')) === 1)
   t.equal(two.marks.length, 1, 'marks are told once')
 })
 
@@ -90,7 +90,7 @@
   const others = await Promise.all(ports.slice(1).map((port) => startSharer(t, port, [], timers)))
   const { sharer } = await startSharer(t, ports[0]!, ports.slice(1).map((port) => `127.0.0.1:${port}`), timers)
   for (let round = 0; round < 8; round += 1) {
-    sharer.mark(id('a'), 'failed')
+    sharer.recordMark(id('a'), 'failed')
     timers.advance(400)
     await new Promise((resolve) => { setTimeout(resolve, 10) })
   }
@@ -117,7 +117,7 @@
   const two = await startSharer(t, second, [], timers)
   one.upstreams.get(id('a'))!.running = 2
   timers.advance(400)
-  await until(() => two.loads.running(id('a')) === 2)
+  await until(() => two.loads.getRunning(id('a')) === 2)
   t.same(one.noted, ['loadNotShared'])
 })
 
--- a/packages/state/turn-ledger/src/turn-ledger.test.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.test.ts
@@ -16,14 +16,14 @@
 }
 
 function play (ledger: turnLedger.TurnLedger, id: string, previous?: string): readonly turnLedger.LedgerWrite[] {
-  ledger.admit(turnRequest(id, previous), now)
-  const outcome = ledger.end(turnRequest(id, previous), whole(id), now)
+  ledger.admitTurn(turnRequest(id, previous), now)
+  const outcome = ledger.settleTurn(turnRequest(id, previous), whole(id), now)
   if (outcome.type !== 'settled') throw new Error(outcome.type)
   return outcome.writes
 }
 
 function promptOf (ledger: turnLedger.TurnLedger, previous: string): string | undefined {
-  const admission = ledger.admit(turnRequest('probe', previous), now)
+  const admission = ledger.admitTurn(turnRequest('probe', previous), now)
   return admission.type === 'admitted' ? Buffer.concat(admission.chain).toString() : undefined
 }
 
@@ -43,10 +43,10 @@
   play(ledger, 'b', 'a')
   const other = new turnLedger.TurnLedger()
   const request = { ...turnRequest('x', 'b'), program: 'other' as types.ProgramId }
-  t.equal(other.admit(request, now).type, 'unknownPrevious')
+  t.equal(other.admitTurn(request, now).type, 'unknownPrevious')
   const writes = other.importChain(ledger.exportChain('b' as records.TurnId, undefined)!)
   t.same(writes.map(({ key }) => key).sort(), ['ta', 'tb'])
-  t.equal(other.admit(request, now).type, 'admitted')
+  t.equal(other.admitTurn(request, now).type, 'admitted')
   t.equal(promptOf(other, 'b'), promptOf(ledger, 'b'))
   t.equal(ledger.exportChain('c' as records.TurnId, undefined), undefined)
   t.end()
@@ -56,27 +56,27 @@
   const ledger = new turnLedger.TurnLedger()
   const account = 'coaches' as types.AccountId
   const own = { ...turnRequest('a'), account }
-  ledger.admit(own, now)
-  const outcome = ledger.end(own, whole('a'), now)
+  ledger.admitTurn(own, now)
+  const outcome = ledger.settleTurn(own, whole('a'), now)
   if (outcome.type !== 'settled') throw new Error(outcome.type)
   const reloaded = new turnLedger.TurnLedger()
-  for (const { key, value } of outcome.writes) reloaded.load(key, value!)
+  for (const { key, value } of outcome.writes) reloaded.loadRecord(key, value!)
   for (const one of [ledger, reloaded]) {
     for (const other of [undefined, 'leagues' as types.AccountId]) {
-      t.equal(one.admit({ ...turnRequest('b', 'a'), account: other }, now).type, 'unknownPrevious')
+      t.equal(one.admitTurn({ ...turnRequest('b', 'a'), account: other }, now).type, 'unknownPrevious')
       t.equal(one.exportChain('a' as records.TurnId, other), undefined)
     }
     t.equal(one.exportChain('a' as records.TurnId, account)?.length, 1)
-    t.equal(one.admit({ ...turnRequest('b', 'a'), account }, now).type, 'admitted')
+    t.equal(one.admitTurn({ ...turnRequest('b', 'a'), account }, now).type, 'admitted')
   }
   t.end()
 })
 
 tap.test('a turn that is under way or broke off can not be continued', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  ledger.admit(turnRequest('a'), now)
+  ledger.admitTurn(turnRequest('a'), now)
   t.equal(promptOf(ledger, 'a'), undefined)
-  ledger.end(turnRequest('a'), { type: 'broken' }, now)
+  ledger.settleTurn(turnRequest('a'), { type: 'broken' }, now)
   t.equal(promptOf(ledger, 'a'), undefined)
   t.end()
 })
@@ -84,15 +84,15 @@
 tap.test('the next owner keeps chains, budgets and open turns', (t) => {
   const former = new turnLedger.TurnLedger()
   const writes = [...play(former, 'a'), ...play(former, 'b', 'a')]
-  const open = former.admit(turnRequest('c', 'b'), now)
+  const open = former.admitTurn(turnRequest('c', 'b'), now)
   if (open.type !== 'admitted') throw new Error(open.type)
   const next = new turnLedger.TurnLedger()
-  for (const { key, value } of [...writes, ...open.writes]) next.load(key, value!)
-  next.finishLoad()
+  for (const { key, value } of [...writes, ...open.writes]) next.loadRecord(key, value!)
+  next.extendLoadedChains()
   t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
-  t.equal(next.end(turnRequest('c', 'b'), whole('c'), now).type, 'settled')
-  t.equal(next.end(turnRequest('c', 'b'), whole('c'), now).type, 'alreadyKept')
-  t.equal(next.end(turnRequest('never', 'b'), whole('never'), now).type, 'unknown')
+  t.equal(next.settleTurn(turnRequest('c', 'b'), whole('c'), now).type, 'settled')
+  t.equal(next.settleTurn(turnRequest('c', 'b'), whole('c'), now).type, 'alreadyKept')
+  t.equal(next.settleTurn(turnRequest('never', 'b'), whole('never'), now).type, 'unknown')
   t.end()
 })
 
@@ -104,19 +104,19 @@
     former.noteStored(writes)
   }
   const first = turnRequest('a', undefined, 800)
-  const begun = former.admit(first, now)
+  const begun = former.admitTurn(first, now)
   if (begun.type !== 'admitted') throw new Error(begun.type)
-  t.notOk(begun.covered)
+  t.notOk(begun.isCovered)
   store(begun.writes)
-  const ended = former.end(first, whole('a'), now)
+  const ended = former.settleTurn(first, whole('a'), now)
   if (ended.type !== 'settled') throw new Error(ended.type)
   store(ended.writes)
   const second = turnRequest('b', 'a', 800)
-  t.match(former.admit(second, now), { type: 'admitted', covered: true, writes: [] })
+  t.match(former.admitTurn(second, now), { type: 'admitted', covered: true, writes: [] })
   const next = new turnLedger.TurnLedger()
-  for (const [key, value] of stored) next.load(key, value)
-  t.equal(next.end(second, whole('b'), now).type, 'unknown')
-  t.equal(next.adopt(second, whole('b'), now).type, 'settled')
+  for (const [key, value] of stored) next.loadRecord(key, value)
+  t.equal(next.settleTurn(second, whole('b'), now).type, 'unknown')
+  t.equal(next.adoptTurn(second, whole('b'), now).type, 'settled')
   t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
   t.end()
 })
@@ -125,8 +125,8 @@
   const ledger = new turnLedger.TurnLedger()
   play(ledger, 'a')
   const later = now + 50_000 as types.EpochMs
-  ledger.admit(turnRequest('b', 'a'), later)
-  ledger.end(turnRequest('b', 'a'), whole('b'), later)
+  ledger.admitTurn(turnRequest('b', 'a'), later)
+  ledger.settleTurn(turnRequest('b', 'a'), whole('b'), later)
   t.same(ledger.expire(now + 90_000 as types.EpochMs), [])
   const dropped = ledger.expire(now + 130_000 as types.EpochMs).map(({ key }) => key)
   t.same(dropped.sort(), ['proster-7', 'ta', 'tb'])
@@ -141,18 +141,18 @@
     let handedOut = 0
     steps.forEach(({ how, tokens }, index) => {
       const request = turnRequest(`t${index}`, undefined, budget)
-      const admission = ledger.admit(request, now)
+      const admission = ledger.admitTurn(request, now)
       if (admission.type !== 'admitted') return
       for (const { key, value } of admission.writes) stored.set(key, value!)
       if (how === 'whole' || how === 'broken' || how === 'leave') handedOut += tokens
       if (how === 'leave') return
       if (how === 'move') {
         ledger = new turnLedger.TurnLedger()
-        for (const [key, value] of stored) ledger.load(key, value)
+        for (const [key, value] of stored) ledger.loadRecord(key, value)
         return
       }
       const end: turnLedger.TurnEnd = how === 'whole' ? whole('x', tokens) : { type: how }
-      const outcome = ledger.end(request, end, now)
+      const outcome = ledger.settleTurn(request, end, now)
       if (how === 'whole' && outcome.type === 'settled') for (const { key, value } of outcome.writes) stored.set(key, value!)
     })
     return handedOut <= budget
@@ -182,9 +182,9 @@
     const storeAll = (): void => { while (life.waiting.length > 0) storeNext() }
     const begin = (): void => {
       life = { ledger: new turnLedger.TurnLedger(), waiting: [] }
-      for (const [key, value] of stored) life.ledger.load(key, value)
-      life.ledger.finishLoad()
-      life.waiting.push(life.ledger.begin(at as types.EpochMs))
+      for (const [key, value] of stored) life.ledger.loadRecord(key, value)
+      life.ledger.extendLoadedChains()
+      life.waiting.push(life.ledger.activateAllowance(at as types.EpochMs))
       storeAll()
     }
     begin()
@@ -200,18 +200,18 @@
           return begin()
       }
       const request = { ...turnRequest(`t${index}`, undefined, budgetTokens), keeps }
-      const admission = life.ledger.admit(request, at as types.EpochMs)
+      const admission = life.ledger.admitTurn(request, at as types.EpochMs)
       if (admission.type !== 'admitted') return
       life.waiting.push(admission.writes)
-      if (!admission.covered) storeAll()
+      if (!admission.isCovered) storeAll()
       if (how !== 'notRun') handedOut += tokens
       if (how === 'leave') return
       const end: turnLedger.TurnEnd = how === 'whole' ? whole('x', tokens) : { type: how }
-      const outcome = life.ledger.end(request, end, at as types.EpochMs)
+      const outcome = life.ledger.settleTurn(request, end, at as types.EpochMs)
       if (outcome.type === 'settled') life.waiting.push(outcome.writes)
     })
     // What is left is used up: whatever was not counted shows.
-    for (let turn = 0; life!.ledger.admit({ ...turnRequest(`rest${turn}`, undefined, budgetTokens), keeps }, at as types.EpochMs).type === 'admitted'; turn += 1) handedOut += most
+    for (let turn = 0; life!.ledger.admitTurn({ ...turnRequest(`rest${turn}`, undefined, budgetTokens), keeps }, at as types.EpochMs).type === 'admitted'; turn += 1) handedOut += most
     return handedOut <= budgetTokens + most
   }), { seed: 11, numRuns: 10_000 })
   t.end()
@@ -219,35 +219,35 @@
 
 tap.test('a program of three turns needs no record, and its owner crash costs it none of them', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  ledger.begin(now)
+  ledger.activateAllowance(now)
   const enquiry = (id: string): turnLedger.TurnRequest => ({ ...turnRequest(id, undefined, 120), keeps: false })
   for (const id of ['a', 'b']) {
-    t.match(ledger.admit(enquiry(id), now), { type: 'admitted', covered: true, writes: [] })
-    t.match(ledger.end(enquiry(id), whole(id, 11), now), { type: 'settled', writes: [] })
+    t.match(ledger.admitTurn(enquiry(id), now), { type: 'admitted', covered: true, writes: [] })
+    t.match(ledger.settleTurn(enquiry(id), whole(id, 11), now), { type: 'settled', writes: [] })
   }
   const next = new turnLedger.TurnLedger()
-  next.load('a', ledger.begin(now)[0]!.value!)
-  next.begin(now)
-  t.match(next.admit(enquiry('c'), now), { type: 'admitted' })
+  next.loadRecord('a', ledger.activateAllowance(now)[0]!.value!)
+  next.activateAllowance(now)
+  t.match(next.admitTurn(enquiry('c'), now), { type: 'admitted' })
   t.end()
 })
 
 tap.test('a program that has room for another turn has it after its owner crashed', (t) => {
   for (const [budgetTokens, keeps] of [[800, true], [400, true], [120, true], [800, false], [400, false]] as const) {
     const former = new turnLedger.TurnLedger()
-    const writes: turnLedger.LedgerWrite[] = [...former.begin(now)]
+    const writes: turnLedger.LedgerWrite[] = [...former.activateAllowance(now)]
     const request = (id: string): turnLedger.TurnRequest => ({ ...turnRequest(id, undefined, budgetTokens), keeps })
     for (let spent = 0; spent + 2 * 40 <= budgetTokens; spent += 40) {
-      const admission = former.admit(request(`t${spent}`), now)
+      const admission = former.admitTurn(request(`t${spent}`), now)
       if (admission.type !== 'admitted') throw new Error(admission.type)
-      const end = former.end(request(`t${spent}`), whole('x', 40), now)
+      const end = former.settleTurn(request(`t${spent}`), whole('x', 40), now)
       if (end.type !== 'settled') throw new Error(end.type)
       writes.push(...admission.writes, ...end.writes)
       former.noteStored([...admission.writes, ...end.writes])
       const next = new turnLedger.TurnLedger()
-      for (const { key, value } of writes) next.load(key, value!)
-      next.finishLoad()
-      t.match(next.admit(request('after'), now), { type: 'admitted' }, `${spent + 40} of ${budgetTokens} spent, ${keeps ? 'kept' : 'not kept'}`)
+      for (const { key, value } of writes) next.loadRecord(key, value!)
+      next.extendLoadedChains()
+      t.match(next.admitTurn(request('after'), now), { type: 'admitted' }, `${spent + 40} of ${budgetTokens} spent, ${keeps ? 'kept' : 'not kept'}`)
     }
   }
   t.end()
@@ -255,12 +255,12 @@
 
 tap.test('after every process lost power, programs that continue from kept turns have their whole budget', (t) => {
   const former = new turnLedger.TurnLedger()
-  const writes = [...former.begin(now), ...play(former, 'a')]
+  const writes = [...former.activateAllowance(now), ...play(former, 'a')]
   const next = new turnLedger.TurnLedger()
-  for (const { key, value } of writes) next.load(key, value!)
-  next.begin(now)
+  for (const { key, value } of writes) next.loadRecord(key, value!)
+  next.activateAllowance(now)
   const request = { ...turnRequest('b', 'a', 40), program: 'new' as types.ProgramId }
-  t.match(next.admit(request, now), { type: 'admitted', covered: false })
+  t.match(next.admitTurn(request, now), { type: 'admitted', covered: false })
   t.end()
 })
 
@@ -268,13 +268,13 @@
   const former = new turnLedger.TurnLedger()
   const writes = play(former, 'a')
   const next = new turnLedger.TurnLedger()
-  for (const { key, value } of writes) next.load(key, value!)
+  for (const { key, value } of writes) next.loadRecord(key, value!)
   const request = turnRequest('b', 'a', 100)
-  t.equal(next.end(request, whole('b'), now).type, 'unknown')
-  t.equal(next.adopt(request, whole('b'), now).type, 'settled')
-  t.equal(next.adopt(request, whole('b'), now).type, 'alreadyKept')
-  t.equal(next.adopt(turnRequest('d', 'c'), whole('d'), now).type, 'unknown')
+  t.equal(next.settleTurn(request, whole('b'), now).type, 'unknown')
+  t.equal(next.adoptTurn(request, whole('b'), now).type, 'settled')
+  t.equal(next.adoptTurn(request, whole('b'), now).type, 'alreadyKept')
+  t.equal(next.adoptTurn(turnRequest('d', 'c'), whole('d'), now).type, 'unknown')
   t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
-  t.match(next.admit({ ...turnRequest('e', 'b', 100), maxTokens: 61 }, now), { type: 'overBudget' })
+  t.match(next.admitTurn({ ...turnRequest('e', 'b', 100), maxTokens: 61 }, now), { type: 'overBudget' })
   t.end()
 })
--- a/packages/state/turn-ledger/src/turn-ledger.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.ts
@@ -15,7 +15,7 @@
 }
 
 /** A turn with its id, as it is copied between shards. */
-export interface KeptTurn {
+export interface StoredTurn {
   readonly turn: records.TurnId
   readonly record: records.TurnRecord
 }
@@ -45,7 +45,7 @@
    * Chain: the parts of the prompt before the new input, oldest first. Covered: the stored records count the turn's
    * tokens already, so that they may be handed out; otherwise only once the writes are stored.
    */
-  | { readonly type: 'admitted', readonly chain: readonly Uint8Array[], readonly writes: readonly LedgerWrite[], readonly covered: boolean }
+  | { readonly type: 'admitted', readonly chain: readonly Uint8Array[], readonly writes: readonly LedgerWrite[], readonly isCovered: boolean }
 
 /** What a settled end needs. */
 export type EndOutcome =
@@ -93,7 +93,7 @@
    * Takes over a stored record. Turns that a former owner had open stay open, so that it can still settle them here;
    * what it never settles counts at its most.
    */
-  load (key: string, value: Uint8Array): void {
+  loadRecord (key: string, value: Uint8Array): void {
     const parsed = records.parseKey(key)
     switch (parsed.type) {
       case 'turn':
@@ -112,7 +112,7 @@
    * Puts the allowance of programs without a record in force; the writes must be stored before a turn is admitted. Where
    * it was in force under a former owner, that one ended without a handover: what it handed out is not known.
    */
-  begin (now: types.EpochMs): readonly LedgerWrite[] {
+  activateAllowance (now: types.EpochMs): readonly LedgerWrite[] {
     const takenOverAt = this.allowance.inForce ? now : this.allowance.takenOverAt
     this.allowance = { inForce: true, takenOverAt }
     return [this.allowanceWrite()]
@@ -133,7 +133,7 @@
   }
 
   /** Whether a turn may run; if so, its tokens are reserved. */
-  admit (request: TurnRequest, now: types.EpochMs): Admission {
+  admitTurn (request: TurnRequest, now: types.EpochMs): Admission {
     const chain = this.chainOf(request.previous, request.account)
     if (chain === undefined) return { type: 'unknownPrevious' }
     const program = this.programs.get(request.program) ?? this.createProgram(request, now)
@@ -147,11 +147,11 @@
     this.programs.set(request.program, program)
     const covered = request.budgetTokens !== undefined && used(program) <= program.coverage.tokens
     const writes = this.mustWrite(request, program, covered) ? [this.programWrite(program, request)] : []
-    return { type: 'admitted', chain, writes, covered }
+    return { type: 'admitted', chain, writes, isCovered: covered }
   }
 
   /** Whether nothing of the program has run yet, as far as is known here. */
-  isNew (id: types.ProgramId): boolean {
+  isNewProgram (id: types.ProgramId): boolean {
     const program = this.programs.get(id)
     return program === undefined || (program.spentTokens === 0 && program.open.size === 0)
   }
@@ -167,7 +167,7 @@
   }
 
   /** Settles a turn whose tokens are reserved here. */
-  end (request: TurnRequest, end: TurnEnd, now: types.EpochMs): EndOutcome {
+  settleTurn (request: TurnRequest, end: TurnEnd, now: types.EpochMs): EndOutcome {
     if (this.turns.has(request.turn)) return { type: 'alreadyKept' }
     const program = this.programs.get(request.program)
     if (program === undefined || !program.open.delete(request.turn)) return { type: 'unknown' }
@@ -190,14 +190,14 @@
    * Keeps a turn that a former owner ran whole, and whose reservation it could not store: its tokens were covered then,
    * and were handed out. `unknown` where the chain that it continues is not here.
    */
-  adopt (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): EndOutcome {
+  adoptTurn (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): EndOutcome {
     if (this.turns.has(request.turn)) return { type: 'alreadyKept' }
     if (this.chainOf(request.previous, request.account) === undefined) return { type: 'unknown' }
     const program = this.programs.get(request.program) ?? this.createProgram(request, now)
     this.programs.set(request.program, program)
     program.keepUntil = later(program.keepUntil, now, request.retainMs)
     program.open.set(request.turn, request.maxTokens)
-    return this.end(request, end, now)
+    return this.settleTurn(request, end, now)
   }
 
   /** Drops what is past its retention; the writes remove it from the store. */
@@ -237,14 +237,14 @@
   }
 
   /** Stored retention times are those of each turn's own end: derives the chains' once all records are loaded. */
-  finishLoad (): void {
+  extendLoadedChains (): void {
     for (const state of [...this.turns.values()]) this.extendChain(state.previous, state.keepUntil)
   }
 
   /** A turn of an account with all before it, newest first, for a program of another shard; `undefined` where it is not kept here. */
-  exportChain (turn: records.TurnId, account: types.AccountId | undefined): KeptTurn[] | undefined {
+  exportChain (turn: records.TurnId, account: types.AccountId | undefined): StoredTurn[] | undefined {
     if (!this.mayContinue(turn, account)) return undefined
-    const chain: KeptTurn[] = []
+    const chain: StoredTurn[] = []
     let next: records.TurnId | undefined = turn
     while (next !== undefined) {
       const record = this.turns.get(next)
@@ -256,7 +256,7 @@
   }
 
   /** Takes a copy of another shard's chain in; the writes make it durable here. */
-  importChain (chain: readonly KeptTurn[]): LedgerWrite[] {
+  importChain (chain: readonly StoredTurn[]): LedgerWrite[] {
     return chain.filter(({ turn }) => !this.turns.has(turn)).map(({ turn, record }) => {
       this.turns.set(turn, { ...record })
       return { key: records.turnKey(turn), value: records.encodeTurn(record) }
--- a/packages/testing/model-engines/src/hold-book.ts
+++ b/packages/testing/model-engines/src/hold-book.ts
@@ -33,9 +33,9 @@
     const kind = learntKind(call)
     const hold = retainPrefix.decideHold(this.#rule, {
       prefixTokens: tokens,
-      pauses: this.#learner.stats(kind),
+      pauses: this.#learner.getStats(kind),
       leftMs: call.script.deadline - now,
-      survivalMs: upstream.evictionAge.survivalMs(now)
+      survivalMs: upstream.evictionAge.getSurvivalMs(now)
     })
     upstream.engine.cache.hold(call.prefix, hold.holdMs)
     this.#pauses.set(call.prefix, { kind, upstream, tokens, since: now, until: now + hold.holdMs })
--- a/packages/testing/model-engines/src/home.ts
+++ b/packages/testing/model-engines/src/home.ts
@@ -57,15 +57,15 @@
 export class Home {
   readonly holds: holdBook.HoldBook
   readonly prefixes: prefixBook.PrefixBook
-  readonly meanUse = admitProgram.createMeanUse(0)
+  readonly meanUse = admitProgram.createMeanUtilization(0)
   readonly remaining = orderQueue.createRemainingEstimator()
   /** Calls that the programs that live here are expected to run at once. */
   demand = 0
   readonly #world: World
   readonly #host: types.HostId
   readonly #random: randoms.Random
-  readonly #own = placeCall.createOwnCalls()
-  readonly #slow = placeCall.createSlowUpstreams()
+  readonly #own = placeCall.createInFlightHistory()
+  readonly #slow = placeCall.createSlowUpstreamDetector()
   readonly #suspectUntil = new Map<types.UpstreamId, number>()
   readonly #generated = new Map<types.KindId, number>()
   #processRetries = limitClient.createRetryBudget(limitClient.processRetrySettings)
@@ -85,7 +85,7 @@
 
   decideAdmission (script: workload.Script): admitProgram.AdmissionDecision {
     const live = this.#live()
-    const work = this.remaining.expect(script.profile.kind, 0)
+    const work = this.remaining.estimate(script.profile.kind, 0)
     this.#worth += worthShare * (script.profile.weight / Math.max(1, work.runMs) - this.#worth)
     return admitProgram.decideAdmission(this.#world.rules.admit, {
       now: this.#world.timers.now(),
@@ -94,12 +94,12 @@
       slots: this.#slots(),
       waiting: live.reduce((sum, upstream) => sum + (upstream.reported?.waiting ?? 0), 0),
       demand: this.#allDemand(),
-      meanUse: this.meanUse.mean(),
+      meanUtilization: this.meanUse.mean(),
       runMs: work.runMs,
-      usualWorth: this.#worth,
+      meanValueDensity: this.#worth,
       expectedMs: work.ms,
       expectedMsDeviation: work.msDeviation,
-      stretch: this.#stretch
+      slowdown: this.#stretch
     })
   }
 
@@ -113,7 +113,7 @@
   }
 
   #slots (): number {
-    return this.#live().length * admitProgram.usableSlots({ ...this.#world.engine, meanCallTokens: this.#meanCallTokens })
+    return this.#live().length * admitProgram.computeUsableSlots({ ...this.#world.engine, meanCallTokens: this.#meanCallTokens })
   }
 
   #live (): readonly upstreams.Upstream[] {
@@ -245,13 +245,13 @@
       upstream: place.upstream,
       host: place.host,
       availabilityZone: place.availabilityZone,
-      inFlight: this.#own.inFlight(place.upstream),
+      inFlight: this.#own.getInFlight(place.upstream),
       reported,
-      inFlightAtReport: reported === undefined ? 0 : this.#own.inFlightAt(place.upstream, reported.at),
+      inFlightAtReport: reported === undefined ? 0 : this.#own.getInFlightAt(place.upstream, reported.at),
       slots: this.#world.engine.slots,
       cachedTokens: Math.min(this.prefixes.cachedTokens(call.prefix, place.upstream), call.historyTokens),
       state: upstream.listed === 'leaving' ? 'leaving' : suspect ? 'suspect' : 'live',
-      slowFactor: this.#world.rules.noticeSlow ? this.#slow.factor(place.upstream, now) : 1
+      slowFactor: this.#world.rules.noticeSlow ? this.#slow.getSlowFactor(place.upstream, now) : 1
     }
   }
 
@@ -264,7 +264,7 @@
       deadline: script.deadline,
       enqueuedAt: now,
       attainedTokens: call.attainedTokens,
-      expectedRemainingMs: this.remaining.expect(script.profile.kind, call.turnsDone).ms
+      expectedRemainingMs: this.remaining.estimate(script.profile.kind, call.turnsDone).ms
     }
   }
 
--- a/packages/testing/model-engines/src/program-run.ts
+++ b/packages/testing/model-engines/src/program-run.ts
@@ -118,7 +118,7 @@
         this.#turnTokens += tokens
         this.#turnRunMs += end.runMs
         this.#running = undefined
-        this.#silence = this.#world.timers.after(admitProgram.silentMs, () => this.#setDemand(0))
+        this.#silence = this.#world.timers.after(admitProgram.programIdleTimeoutMs, () => this.#setDemand(0))
         done()
       },
       onGivenUp: () => this.#end('expired')
@@ -157,7 +157,7 @@
 
   /** Counts the rest of the program as demand, for as long as it is not silent. */
   #expectRest (): void {
-    const rest = this.#home.remaining.expect(this.#script.profile.kind, this.#turns.length)
+    const rest = this.#home.remaining.estimate(this.#script.profile.kind, this.#turns.length)
     this.#setDemand(rest.runMs / Math.max(1, rest.ms))
   }
 
--- a/packages/testing/model-engines/src/rules.ts
+++ b/packages/testing/model-engines/src/rules.ts
@@ -28,7 +28,7 @@
   decodeMsPerToken: 20,
   slowdownPerStream: 0.06,
   importMsPerToken: 0.04,
-  usualCallMs: 4_000
+  typicalCallMs: 4_000
 }
 
 function homeFirst (spillMarginMs: number, importMsPerToken: number | undefined): placeCall.PlaceRule {
--- a/packages/testing/model-engines/src/upstream.ts
+++ b/packages/testing/model-engines/src/upstream.ts
@@ -28,7 +28,7 @@
   readonly place: UpstreamPlace
   readonly engine: fakeEngine.FakeEngine
   /** Learnt from the evictions that the engine reports. */
-  readonly evictionAge = retainPrefix.createEvictionAge()
+  readonly evictionAge = retainPrefix.createEvictionAgeTracker()
   /** What the host list says of it. */
   listed: 'live' | 'leaving' = 'live'
   /** The load that has arrived at others. */
--- a/packages/testing/slopes/src/slopes/homes.ts
+++ b/packages/testing/slopes/src/slopes/homes.ts
@@ -24,7 +24,7 @@
 
   function lookupCost (count: number): number {
     const hosts = hostNames(count)
-    return measures.cpuUs(() => { for (const program of programs) homes.homeOf(program, hosts) }) / lookupsPerRun
+    return measures.cpuUs(() => { for (const program of programs) homes.findHome(program, hosts) }) / lookupsPerRun
   }
 
   function rankCost (count: number): number {
@@ -35,7 +35,7 @@
   function firstLookupCost (count: number): number {
     const hosts = hostNames(count)
     // A copy of the list is a new list to the cache.
-    return measures.cpuUs(() => homes.homeOf(programs[0]!, [...hosts]))
+    return measures.cpuUs(() => homes.findHome(programs[0]!, [...hosts]))
   }
 
   function planCost (count: number): number {
--- a/packages/testing/slopes/src/slopes/hosts.ts
+++ b/packages/testing/slopes/src/slopes/hosts.ts
@@ -84,10 +84,10 @@
     const host = changing[next++ % count]!.host
     table.noteFailure(host, now)
     table.tick(now += 1_000)
-    select(table.view())
+    select(table.getView())
     table.noteAnswer(host, incarnation, false, now)
     table.tick(now += 1_000_000)
-    select(table.view())
+    select(table.getView())
   }) / 2
 }
 
--- a/packages/testing/slopes/src/slopes/journal.ts
+++ b/packages/testing/slopes/src/slopes/journal.ts
@@ -45,8 +45,8 @@
 }
 
 function snapshotCost (turns: number): number {
-  const state = programState.completeState(programs.foldFromText(programState.encodeBatch(records.chainOf(program, turns, largeTurnBytes))))!
-  return measures.cpuUs(() => { JSON.stringify(programState.snapshotOf(state)) })
+  const state = programState.getCompleteState(programs.foldFromText(programState.encodeBatch(records.chainOf(program, turns, largeTurnBytes))))!
+  return measures.cpuUs(() => { JSON.stringify(programState.createSnapshot(state)) })
 }
 
 export const journal: series.Slope = {
--- a/packages/testing/slopes/src/slopes/share-load.ts
+++ b/packages/testing/slopes/src/slopes/share-load.ts
@@ -24,7 +24,7 @@
   const loads = new trackUpstreams.PeerLoads()
   const bytes = shareLoad.encodeLoad(messageOf(entries))
   return measures.cpuUs(() => {
-    for (let index = 0; index < reports; index += 1) loads.report(`peer-${index % 48}`, shareLoad.decodeLoad(bytes).running, index)
+    for (let index = 0; index < reports; index += 1) loads.applyReport(`peer-${index % 48}`, shareLoad.decodeLoad(bytes).running, index)
   }) / reports
 }
 
@@ -34,10 +34,10 @@
   for (let index = 0; index < count; index += 1) {
     list.put({ id: idOf(index), service, address: `${index}`, name: 'n', slots, leaving: false })
   }
-  const candidates = list.ofService(service)
+  const candidates = list.getByService(service)
   return measures.cpuUs(() => {
     for (let index = 0; index < choices; index += 1) {
-      const affinity = { holder: undefined, sharedPart: `part-${index % 8}` }
+      const affinity = { holder: undefined, sharedPrefix: `part-${index % 8}` }
       const chosen = trackUpstreams.chooseUpstream({ candidates, tried: new Set(), affinity, othersRunning: () => 3, now: 0, random: Math.random })
       if (chosen === undefined) throw new Error('none chosen')
     }
--- a/packages/testing/slopes/src/slopes/turn-ledger.ts
+++ b/packages/testing/slopes/src/slopes/turn-ledger.ts
@@ -33,10 +33,10 @@
   const writes: turnLedger.LedgerWrite[] = []
   for (let index = 0; index < turns; index += 1) {
     const request = requestOf(index, program, index === 0 ? undefined : `${program}-${index - 1}`)
-    const admission = ledger.admit(request, now)
+    const admission = ledger.admitTurn(request, now)
     if (admission.type !== 'admitted') throw new Error(admission.type)
     const end: turnLedger.TurnEnd = { type: 'whole', input: Buffer.alloc(turnBytes / 2, index), output: Buffer.alloc(turnBytes / 2, index), tokens: 50 }
-    const outcome = ledger.end(request, end, now)
+    const outcome = ledger.settleTurn(request, end, now)
     if (outcome.type === 'settled') writes.push(...outcome.writes)
   }
   return writes
@@ -59,8 +59,8 @@
   const spent = measures.cpuUs(() => {
     for (let index = 0; index < admissions; index += 1) {
       const request = requestOf(index, 'p', `p-${chain - 1}`)
-      ledger.admit({ ...request, turn: `x-${index}` as turnLedger.TurnId }, now)
-      ledger.end({ ...request, turn: `x-${index}` as turnLedger.TurnId }, { type: 'notRun' }, now)
+      ledger.admitTurn({ ...request, turn: `x-${index}` as turnLedger.TurnId }, now)
+      ledger.settleTurn({ ...request, turn: `x-${index}` as turnLedger.TurnId }, { type: 'notRun' }, now)
     }
   })
   return spent / admissions
@@ -72,8 +72,8 @@
   for (let program = 0; program < turns / 10; program += 1) writes.push(...play(source, `p${program}`, 10))
   const target = new turnLedger.TurnLedger()
   return measures.cpuUs(() => {
-    for (const { key, value } of writes) if (value !== undefined) target.load(key, value)
-    target.finishLoad()
+    for (const { key, value } of writes) if (value !== undefined) target.loadRecord(key, value)
+    target.extendLoadedChains()
   })
 }
 
