--- a/packages/programs/front/src/account-limits.ts
+++ b/packages/programs/front/src/account-limits.ts
@@ -1,4 +1,4 @@
-/** Keeps the client accounts within their limits over all hosts: each account is counted by one process, found like the owner of a program. */
+/** Enforces account limits across all hosts. Each account is metered by one process, which is located like the owner of a program. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as hashText from '@eelgrasswind/hash-text'
 import type * as identifyClient from '@eelgrasswind/identify-client'
@@ -10,95 +10,95 @@
 import * as meterChannel from './meter-channel.js'
 import * as peerCalls from './peer-calls.js'
 
-/** What it takes to limit accounts. */
+/** Dependencies for account limits. */
 export interface AccountLimitsPorts extends peerCalls.PeerCallPorts {
   readonly shards: Pick<ownShards.ShardOwner, 'locate' | 'getPartition' | 'listMembers' | 'refreshOwners'>
   readonly routing: { readonly accounts: identifyClient.AccountDirectory, readonly version: number }
-  /** Other hosts that are heard of: where there are more hosts than shards, not all of them are members. */
+  /** Number of other hosts that report their load. With more hosts than shards, not all hosts are members of the group. */
   readonly peerCount: () => number
-  /** Requests beyond a limit that the operator tolerates in a short time. */
+  /** Requests by which an account may briefly exceed its limit. */
   readonly slack: number
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** Accounts are counted in so many groups: a host reports to as many processes at most, whatever the size of the fleet. */
-const groupCount = 8
-/** Time for the owner's answer, in ms: it asks nobody else. */
-const callTimeoutMs = 250
-/** Time between two looks for accounts that are quiet, in ms. */
-const pruneMs = 5_000
+/** Number of groups into which accounts are partitioned. It bounds the number of owners that a host reports to, whatever the number of hosts. */
+const accountGroupCount = 8
+/** Timeout for the owner's answer, in ms; the owner makes no further calls. */
+const ownerTimeoutMs = 250
+/** Interval for removing idle accounts, in ms. */
+const pruneIntervalMs = 5_000
 
-/** Lets requests of accounts through, here for the clients of this host and as the owner for other hosts. */
+/** Admits requests of accounts for the clients of this host, and meters accounts for all hosts as the owner of their group. */
 export class AccountLimits {
-  private readonly book = new meterAccount.MeterRegistry()
+  private readonly registry = new meterAccount.MeterRegistry()
   private readonly channels: readonly meterChannel.MeterChannel[]
-  private readonly pruning: timerService.Subscription
+  private readonly pruneTimer: timerService.Subscription
 
   constructor (private readonly ports: AccountLimitsPorts) {
     const { timers, decisions, shards } = ports
     const channelPorts: meterChannel.MeterChannelPorts = {
       timers,
       decisions,
-      call: (call) => this.call(call),
-      limitOf: (account) => this.limitOf(account),
-      version: () => ports.routing.version,
-      hosts: () => Math.max(shards.listMembers().length, ports.peerCount() + 1)
+      callOwner: (call) => this.callOwner(call),
+      getLimit: (account) => this.getLimit(account),
+      getVersion: () => ports.routing.version,
+      countHosts: () => Math.max(shards.listMembers().length, ports.peerCount() + 1)
     }
-    this.channels = Array.from({ length: groupCount }, (_, group) => new meterChannel.MeterChannel(group, channelPorts))
-    this.pruning = timers.every(pruneMs, () => { this.prune() })
+    this.channels = Array.from({ length: accountGroupCount }, (_, group) => new meterChannel.MeterChannel(group, channelPorts))
+    this.pruneTimer = timers.every(pruneIntervalMs, () => { this.prune() })
   }
 
-  /** Whether a request of the account may be sent now; if so, it is counted. */
-  take (account: types.AccountId, part: meterAccount.RequestPosition): meterChannel.Taken | Promise<meterChannel.Taken> {
-    return this.channelOf(account).take(account, part)
+  /** Counts a request of the account if its limit allows it now. */
+  acquire (account: types.AccountId, position: meterAccount.RequestPosition): meterChannel.AcquireResult | Promise<meterChannel.AcquireResult> {
+    return this.getChannel(account).acquire(account, position)
   }
 
-  /** A request that was counted has not run, and will not. */
-  refund (account: types.AccountId, part: meterAccount.RequestPosition): void {
-    this.channelOf(account).refund(account, part)
+  /** Undoes the count of a request that has not run and will not. */
+  refund (account: types.AccountId, position: meterAccount.RequestPosition): void {
+    this.getChannel(account).refund(account, position)
   }
 
-  /** Counts for another host, or for this one. */
+  /** Applies the reports of another host or of this one, as the owner of the account group. */
   countReports (call: meterChannel.MeterCall): meterChannel.MeterCallAnswer {
-    const place = this.locate(call.group)
-    if (place.type !== 'here') return { type: 'notOwner' }
+    const location = this.locateGroup(call.group)
+    if (location.type !== 'here') return { type: 'notOwner' }
     const now = this.ports.timers.monotonic()
-    return { type: 'metered', answers: call.reports.map((report) => this.book.applyReport(report, place.shard.epoch, call.version, now)) }
+    return { type: 'metered', answers: call.reports.map((report) => this.registry.applyReport(report, location.shard.epoch, call.version, now)) }
   }
 
   close (): void {
-    this.pruning.cancel()
+    this.pruneTimer.cancel()
     for (const channel of this.channels) channel.close()
   }
 
-  private channelOf (account: types.AccountId): meterChannel.MeterChannel {
-    return this.channels[hashText.hashText(account) % groupCount]!
+  private getChannel (account: types.AccountId): meterChannel.MeterChannel {
+    return this.channels[hashText.hashText(account) % accountGroupCount]!
   }
 
-  private limitOf (account: types.AccountId): meterAccount.MeterLimit | undefined {
+  private getLimit (account: types.AccountId): meterAccount.MeterLimit | undefined {
     const limit = this.ports.routing.accounts.findByName(account)?.limit
     return limit === undefined ? undefined : { ...limit, slack: this.ports.slack }
   }
 
-  /** A group is counted by whoever owns the shard that its name falls into. */
-  private locate (group: number): ownShards.ShardLocation {
+  /** Locates the owner of a group: the owner of the shard that the group's name hashes to. */
+  private locateGroup (group: number): ownShards.ShardLocation {
     const { shards } = this.ports
     return shards.locate(shards.getPartition(`accounts ${group}` as types.ProgramId))
   }
 
-  private async call (call: meterChannel.MeterCall): Promise<meterChannel.MeterCallAnswer | undefined> {
-    const place = this.locate(call.group)
-    if (place.type === 'here') return this.countReports(call)
-    const answer = place.type === 'member'
-      ? await peerCalls.callPeer<meterChannel.MeterCallAnswer>(this.ports, memberName.parsePeerAddress(place.member), call, callTimeoutMs)
+  private async callOwner (call: meterChannel.MeterCall): Promise<meterChannel.MeterCallAnswer | undefined> {
+    const location = this.locateGroup(call.group)
+    if (location.type === 'here') return this.countReports(call)
+    const answer = location.type === 'member'
+      ? await peerCalls.callPeer<meterChannel.MeterCallAnswer>(this.ports, memberName.parsePeerAddress(location.member), call, ownerTimeoutMs)
       : undefined
     if (answer?.type !== 'metered') void this.ports.shards.refreshOwners()
     return answer
   }
 
   private prune (): void {
-    this.book.prune(this.ports.timers.monotonic())
+    this.registry.prune(this.ports.timers.monotonic())
     for (const channel of this.channels) channel.prune()
   }
 }
--- a/packages/programs/front/src/account-scope.ts
+++ b/packages/programs/front/src/account-scope.ts
@@ -1,8 +1,8 @@
-/** Keeps what belongs to one client account apart from all others. */
+/** Isolates the programs of one client account from those of all other accounts. */
 import * as identifyClient from '@eelgrasswind/identify-client'
 import type * as dialects from './dialect.js'
 
-/** The attempt with its program named within the account of its caller: a budget or a history is never shared by two accounts. */
+/** Scopes the program id of an attempt to the caller's account, so that two accounts never share a budget or a history. */
 export function scopeAttempt (attempt: dialects.ClientAttempt, caller: identifyClient.Caller): dialects.ClientAttempt {
   const { program, turn } = attempt
   return {
--- a/packages/programs/front/src/confirm-refusal.ts
+++ b/packages/programs/front/src/confirm-refusal.ts
@@ -1,21 +1,21 @@
-/** Makes sure of a final refusal before a client is told. */
+/** Confirms a final refusal with the store before it is sent to the client. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as ownShards from '@eelgrasswind/own-shards'
 import * as timerService from '@eelgrasswind/timer-service'
 import type * as turnLedger from '@eelgrasswind/turn-ledger'
 
-/** What it takes to ask the store. */
-export interface ConfirmPorts {
+/** Dependencies for confirming a refusal. */
+export interface ConfirmRefusalPorts {
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** What the ledger found when it refused the turn. */
-export type OverBudget = Extract<turnLedger.Admission, { type: 'overBudget' }>
+/** The ledger's result for a turn that exceeds its program's budget. */
+export type OverBudgetAdmission = Extract<turnLedger.Admission, { type: 'overBudget' }>
 
-/** Whether the refusal is true: the store confirms, within the time given in ms, that nobody else may know more of the program. */
-export async function confirmOverBudget (ports: ConfirmPorts, shard: ownShards.OwnedShard, request: turnLedger.TurnRequest, admission: OverBudget, limitMs: number): Promise<boolean> {
-  const confirmed = await timerService.within(ports.timers, shard.confirmOwnership(), limitMs)
+/** Returns whether the store confirms within the timeout, in ms, that this process still owns the shard, so that its ledger is current. */
+export async function confirmOverBudget (ports: ConfirmRefusalPorts, shard: ownShards.OwnedShard, request: turnLedger.TurnRequest, admission: OverBudgetAdmission, timeoutMs: number): Promise<boolean> {
+  const confirmed = await timerService.within(ports.timers, shard.confirmOwnership(), timeoutMs)
   ports.decisions.note({
     event: 'turnRefused',
     reason: 'over budget',
--- a/packages/programs/front/src/dispatch.test.ts
+++ b/packages/programs/front/src/dispatch.test.ts
@@ -12,21 +12,21 @@
 import * as retryBudget from './retry-budget.js'
 import * as upstreamHealth from './upstream-health.js'
 
-/** How an upstream answers the next request. */
-type Behaviour = 'silent' | 'stops' | 'cut' | 'answers' | 'full' | 'refusesConnections' | 'breaks' | 'other' | 'errors'
+/** How an upstream handles a request. */
+type Behaviour = 'unresponsive' | 'stalls' | 'truncates' | 'answers' | 'full' | 'refusesConnections' | 'resets' | 'wrongRequest' | 'errors'
 
 const id = 'request-1' as turnLedger.TurnId
 const service = 'orders' as types.ServiceId
 
-function routeOf (repeatability: routeRequest.Repeatability): routeRequest.Route {
+function createRoute (repeatability: routeRequest.Repeatability): routeRequest.Route {
   return { name: 'r', host: 'h', pathPrefix: '/', repeatability, targets: [{ service, weight: 1 }], timeoutMs: 2_000, objectiveMs: 400, rank: 2, maxAttempts: 3, stream: undefined, retain: undefined, isPublic: false }
 }
 
-const facts: Record<'answers' | 'full' | 'other' | 'errors', dialects.AnswerFacts> = {
+const facts: Record<'answers' | 'full' | 'wrongRequest' | 'errors', dialects.AnswerFacts> = {
   answers: { requestId: id, signed: true, notRun: false, wrongIncarnation: false },
   errors: { requestId: id, signed: true, notRun: false, wrongIncarnation: false },
   full: { requestId: id, signed: false, notRun: true, wrongIncarnation: false },
-  other: { requestId: 'another', signed: true, notRun: false, wrongIncarnation: false }
+  wrongRequest: { requestId: 'another', signed: true, notRun: false, wrongIncarnation: false }
 }
 
 function fixture (behaviours: Readonly<Record<string, Behaviour>>, repeatability: routeRequest.Repeatability, stream?: routeRequest.StreamRules) {
@@ -38,105 +38,105 @@
   const sentTo: string[] = []
   const cancelled: string[] = []
   const marks: string[] = []
-  let next: dialects.AnswerFacts = facts.answers
+  let nextFacts: dialects.AnswerFacts = facts.answers
   const send: sendHttp.Sender['send'] = (request, sink) => {
     sentTo.push(request.address)
     const behaviour = behaviours[request.address]!
     timers.after(10, () => {
       switch (behaviour) {
-        case 'silent': return
+        case 'unresponsive': return
         case 'refusesConnections':
           sink.fail({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' })
           return
-        case 'breaks':
+        case 'resets':
           sink.fail({ verdict: 'mayHaveRun', cause: 'reset', reused: true, detail: '' })
           return
-        case 'stops':
-        case 'cut':
-          next = facts.answers
+        case 'stalls':
+        case 'truncates':
+          nextFacts = facts.answers
           sink.head({ status: 200, headers: {}, rawHeaders: [] })
           sink.data(Buffer.from('id: 1'))
-          if (behaviour === 'cut') sink.fail({ verdict: 'mayHaveRun', cause: 'truncated', reused: false, detail: '' })
+          if (behaviour === 'truncates') sink.fail({ verdict: 'mayHaveRun', cause: 'truncated', reused: false, detail: '' })
           return
         default:
-          next = facts[behaviour]
+          nextFacts = facts[behaviour]
           sink.head({ status: behaviour === 'errors' ? 500 : 200, headers: {}, rawHeaders: [] })
           if (behaviour === 'answers' || behaviour === 'errors') sink.end()
       }
     })
     return { cancel: () => { cancelled.push(request.address) }, pause: () => {}, resume: () => {} }
   }
-  const req = { attempt: { id, deadlineMs: 2_000, turn: undefined }, method: 'GET', path: '/', rawHeaders: [], body: Buffer.alloc(0), route: { ...routeOf(repeatability), stream }, service, tokensPerEvent: 1, deadlineAt: timers.monotonic() + 2_000 } as unknown as inbound.InboundRequest
-  let ended: string | undefined
-  let resumed = 0
+  const req = { attempt: { id, deadlineMs: 2_000, turn: undefined }, method: 'GET', path: '/', rawHeaders: [], body: Buffer.alloc(0), route: { ...createRoute(repeatability), stream }, service, tokensPerEvent: 1, deadlineAt: timers.monotonic() + 2_000 } as unknown as inbound.InboundRequest
+  let result: string | undefined
+  let resumedCount = 0
   const run = (preferred: string): dispatch.Dispatch => {
     const started = new dispatch.Dispatch({
       upstreams,
       sender: { send, close: () => {} },
-      dialect: { upstreamHeaders: () => [], answerFacts: () => next } as unknown as dialects.Dialect,
+      dialect: { upstreamHeaders: () => [], answerFacts: () => nextFacts } as unknown as dialects.Dialect,
       timers,
       decisions: decisionLog.createSilentDecisionLog(),
-      health: new upstreamHealth.UpstreamHealth({ upstreams, timers, decisions: decisionLog.createSilentDecisionLog(), processes: () => 1, share: (upstream, mark) => { marks.push(`${upstream} ${mark}`) } }),
+      health: new upstreamHealth.UpstreamHealth({ upstreams, timers, decisions: decisionLog.createSilentDecisionLog(), countProcesses: () => 1, publishMark: (upstream, mark) => { marks.push(`${upstream} ${mark}`) } }),
       retryBudget: new retryBudget.RetryBudget(),
       peerLoads: new trackUpstreams.PeerLoads(),
       listAgeMs: () => 0
     }, req, { body: req.body, affinity: { holder: preferred as types.UpstreamId, sharedPrefix: undefined } }, {
       head: () => {},
       data: () => {},
-      resumed: () => { resumed += 1 },
-      end: () => { ended = 'whole' },
-      fail: (failure) => { ended = dispatch.toRefusal(failure).type }
+      resumed: () => { resumedCount += 1 },
+      end: () => { result = 'whole' },
+      fail: (failure) => { result = dispatch.toRefusal(failure).type }
     })
     started.start()
     return started
   }
-  return { timers, upstreams, sentTo, cancelled, marks, run, ended: () => ended, resumed: () => resumed }
+  return { timers, upstreams, sentTo, cancelled, marks, run, getResult: () => result, getResumedCount: () => resumedCount }
 }
 
-tap.test('a repeatable request leaves a silent upstream for another', (t) => {
-  const { timers, sentTo, cancelled, run, ended, upstreams } = fixture({ a: 'silent', b: 'answers' }, 'idempotent')
+tap.test('an idempotent request fails over from an unresponsive upstream', (t) => {
+  const { timers, sentTo, cancelled, run, getResult, upstreams } = fixture({ a: 'unresponsive', b: 'answers' }, 'idempotent')
   run('a')
   timers.advance(1_000)
   t.same(sentTo, ['a', 'b'])
   t.same(cancelled, ['a'])
-  t.equal(ended(), 'whole')
-  t.ok(upstreams.get('a' as types.UpstreamId)!.avoidUntil > timers.monotonic(), 'new requests avoid it')
+  t.equal(getResult(), 'whole')
+  t.ok(upstreams.get('a' as types.UpstreamId)!.avoidUntil > timers.monotonic(), 'new requests avoid the upstream')
   t.end()
 })
 
-tap.test('a request that may run once waits at a silent upstream, new ones avoid it', (t) => {
-  const { timers, sentTo, run, ended, upstreams } = fixture({ a: 'silent', b: 'answers' }, 'atMostOnce')
-  const waiting = run('a')
+tap.test('an at-most-once request keeps waiting at an unresponsive upstream, and new requests avoid it', (t) => {
+  const { timers, sentTo, run, getResult, upstreams } = fixture({ a: 'unresponsive', b: 'answers' }, 'atMostOnce')
+  const dispatched = run('a')
   timers.advance(1_000)
   t.same(sentTo, ['a'])
-  t.equal(ended(), undefined)
-  t.ok(waiting.mayHaveRun, 'it may have run')
+  t.equal(getResult(), undefined)
+  t.ok(dispatched.mayHaveRun, 'the request may have run')
   t.ok(upstreams.get('a' as types.UpstreamId)!.avoidUntil > timers.monotonic())
   t.end()
 })
 
-tap.test('a request that may run once is sent again only where it did not run', (t) => {
-  for (const [first, expected, answer] of [['full', 2, 'whole'], ['refusesConnections', 2, 'whole'], ['breaks', 1, 'answerLost'], ['other', 1, 'answerLost']] as const) {
-    const { timers, sentTo, run, ended } = fixture({ a: first, b: 'answers' }, 'atMostOnce')
+tap.test('an at-most-once request is retried only if it did not run', (t) => {
+  for (const [first, expected, answer] of [['full', 2, 'whole'], ['refusesConnections', 2, 'whole'], ['resets', 1, 'answerLost'], ['wrongRequest', 1, 'answerLost']] as const) {
+    const { timers, sentTo, run, getResult } = fixture({ a: first, b: 'answers' }, 'atMostOnce')
     run('a')
     timers.advance(400)
     t.equal(sentTo.length, expected, first)
-    t.equal(ended(), answer, first)
+    t.equal(getResult(), answer, first)
   }
   t.end()
 })
 
-tap.test('no more upstreams than the route allows are asked', (t) => {
-  const { timers, sentTo, run, ended } = fixture({ a: 'full', b: 'full', c: 'full', d: 'full', e: 'full' }, 'atMostOnce')
+tap.test('the number of attempts is limited by the route', (t) => {
+  const { timers, sentTo, run, getResult } = fixture({ a: 'full', b: 'full', c: 'full', d: 'full', e: 'full' }, 'atMostOnce')
   run('a')
   timers.advance(400)
   t.equal(sentTo.length, 3)
-  t.equal(ended(), 'upstreamsFull')
+  t.equal(getResult(), 'upstreamsFull')
   t.end()
 })
 
-tap.test('errors and useless answers count against an upstream, refusals of a full one do not', (t) => {
-  for (const [behaviour, expected] of [['errors', ['a failed']], ['other', ['a failed']], ['breaks', ['a failed']], ['full', []], ['answers', []]] as const) {
+tap.test('error responses and rejected answers count against an upstream, refusals at capacity do not', (t) => {
+  for (const [behaviour, expected] of [['errors', ['a failed']], ['wrongRequest', ['a failed']], ['resets', ['a failed']], ['full', []], ['answers', []]] as const) {
     const { timers, marks, run } = fixture({ a: behaviour, b: 'answers' }, 'atMostOnce')
     run('a')
     timers.advance(400)
@@ -145,45 +145,45 @@
   t.end()
 })
 
-tap.test('a stream that breaks off or falls silent goes on elsewhere, where it may be resumed', (t) => {
-  for (const behaviour of ['stops', 'cut'] as const) {
-    const { timers, sentTo, run, ended, resumed } = fixture({ a: behaviour, b: 'answers' }, 'idempotent', { gapMs: 200, resumable: true })
+tap.test('a resumable stream that is truncated or stalls is resumed at another upstream', (t) => {
+  for (const behaviour of ['stalls', 'truncates'] as const) {
+    const { timers, sentTo, run, getResult, getResumedCount } = fixture({ a: behaviour, b: 'answers' }, 'idempotent', { gapMs: 200, resumable: true })
     run('a')
     timers.advance(1_200)
-    t.same([sentTo, resumed(), ended()], [['a', 'b'], 1, 'whole'], behaviour)
+    t.same([sentTo, getResumedCount(), getResult()], [['a', 'b'], 1, 'whole'], behaviour)
   }
   t.end()
 })
 
-tap.test('no other answer is gone on with elsewhere', (t) => {
+tap.test('a partial answer that is not resumable does not fail over', (t) => {
   for (const stream of [undefined, { gapMs: 200, resumable: false }]) {
-    for (const [behaviour, end] of [['stops', undefined], ['cut', 'answerLost']] as const) {
-      const { timers, sentTo, run, ended } = fixture({ a: behaviour, b: 'answers' }, stream === undefined ? 'idempotent' : 'atMostOnce', stream)
+    for (const [behaviour, end] of [['stalls', undefined], ['truncates', 'answerLost']] as const) {
+      const { timers, sentTo, run, getResult } = fixture({ a: behaviour, b: 'answers' }, stream === undefined ? 'idempotent' : 'atMostOnce', stream)
       run('a')
       timers.advance(1_900)
-      t.same([sentTo, ended()], [['a'], end], behaviour)
+      t.same([sentTo, getResult()], [['a'], end], behaviour)
     }
   }
   t.end()
 })
 
-tap.test('a stream that waits while its upstream answers others leaves it once it answers nobody', (t) => {
-  const { timers, upstreams, sentTo, run, ended } = fixture({ a: 'silent', b: 'answers' }, 'idempotent', { gapMs: 200, resumable: true })
+tap.test('a stream waits while its upstream answers other requests, and fails over once the upstream answers none', (t) => {
+  const { timers, upstreams, sentTo, run, getResult } = fixture({ a: 'unresponsive', b: 'answers' }, 'idempotent', { gapMs: 200, resumable: true })
   run('a')
   timers.advance(300)
   trackUpstreams.noteActivity(upstreams.get('a' as types.UpstreamId)!, timers.monotonic())
   timers.advance(400)
-  t.same(sentTo, ['a'], 'it keeps its place in the queue')
+  t.same(sentTo, ['a'], 'the stream keeps its place in the queue')
   timers.advance(700)
-  t.same([sentTo, ended()], [['a', 'b'], 'whole'])
+  t.same([sentTo, getResult()], [['a', 'b'], 'whole'])
   t.end()
 })
 
-tap.test('the last upstream that may be asked is waited for', (t) => {
-  const { timers, sentTo, run, ended } = fixture({ a: 'silent', b: 'silent', c: 'silent', d: 'silent' }, 'idempotent')
+tap.test('the last permitted attempt waits for its answer', (t) => {
+  const { timers, sentTo, run, getResult } = fixture({ a: 'unresponsive', b: 'unresponsive', c: 'unresponsive', d: 'unresponsive' }, 'idempotent')
   run('a')
   timers.advance(1_950)
   t.equal(sentTo.length, 3)
-  t.equal(ended(), undefined)
+  t.equal(getResult(), undefined)
   t.end()
 })
--- a/packages/programs/front/src/dispatch.ts
+++ b/packages/programs/front/src/dispatch.ts
@@ -1,4 +1,4 @@
-/** Sends a request to an upstream of its service, and again elsewhere as long as that is safe and of use. */
+/** Sends a request to an upstream of its service and fails over to other upstreams while a retry is safe and can still succeed. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as decideRetry from '@eelgrasswind/decide-retry'
 import * as errors from '@eelgrasswind/errors'
@@ -12,7 +12,7 @@
 import type * as retryBudget from './retry-budget.js'
 import type * as upstreamHealth from './upstream-health.js'
 
-/** What it takes to send requests to upstreams. */
+/** Dependencies for sending requests to upstreams. */
 export interface DispatchPorts {
   readonly upstreams: trackUpstreams.UpstreamList
   readonly sender: sendHttp.Sender
@@ -20,83 +20,83 @@
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
   readonly health: upstreamHealth.UpstreamHealth
-  /** Retries of requests whose first attempt may still be running. */
+  /** Limits retries of requests whose first attempt may still be running. */
   readonly retryBudget: retryBudget.RetryBudget
-  /** What other processes have running at the upstreams. */
+  /** Requests that other front processes have in flight at the upstreams. */
   readonly peerLoads: trackUpstreams.PeerLoads
-  /** Age of the list of upstreams, in ms. */
+  /** Age of the upstream list, in ms. */
   readonly listAgeMs: () => number
 }
 
-/** What is sent, and where if there is a choice. */
+/** Request body and upstream preference of a dispatch. */
 export interface DispatchOptions {
   readonly body: Uint8Array
-  /** What of the prompt may lie in the memory of an upstream. */
+  /** Which parts of the prompt an upstream may have cached; `undefined` if the request has no prompt. */
   readonly affinity: trackUpstreams.PromptAffinity | undefined
-  /** Id of the last event that was received, for streams that another upstream can go on with. */
+  /** Returns the id of the last received event, for streams that another upstream can resume. */
   readonly resumeAfter?: () => string | undefined
 }
 
-/** What comes of a dispatch. */
+/** Receives the result of a dispatch. */
 export interface DispatchSink {
-  /** An upstream has answered; only signed answers to this very request get here. */
+  /** Head of the first accepted answer: signed, and for this request id. */
   readonly head: (head: sendHttp.Head, upstream: types.UpstreamId) => void
   readonly data: (chunk: Buffer) => void
-  /** Another upstream goes on after the last event; what came of an event that was not whole is void. */
+  /** Another upstream resumes the stream after the last complete event; discard any partial event. */
   readonly resumed?: () => void
   readonly end: () => void
-  /** There is no answer, or it broke off after its head. */
+  /** No answer arrived, or it ended early after its head. */
   readonly fail: (failure: DispatchFailure) => void
 }
 
-/** Why there is no answer, and what may have happened. */
+/** Why a dispatch failed, and whether the request may have run. */
 export interface DispatchFailure {
   readonly failure: errors.Failure
-  /** Whether any upstream may have worked on it: false promises that none did and none will. */
+  /** Whether any upstream may have processed the request; false guarantees that none did and none will. */
   readonly mayHaveRun: boolean
 }
 
-/** Time for a connection to an upstream, in ms: links take about one ms, so only an unreachable host takes longer. */
+/** Connect timeout for an upstream, in ms. A network round trip takes about 1 ms, so only an unreachable host takes longer. */
 const connectTimeoutMs = 250
-/** Time to come back where every upstream is full, in ms: about one request of a plain service. */
-const fullRetryMs = 150
-/** Time to come back where no upstream is known or reachable, in ms: a crashed one is replaced within a second or two. */
+/** Retry-after when every upstream is full, in ms: about the duration of one request to a plain service. */
+const queueFullRetryMs = 150
+/** Retry-after when no upstream is known or reachable, in ms. A crashed upstream is replaced within a second or two. */
 const noUpstreamRetryMs = 500
-/** A dispatch of less time than this, in ms, would be in vain. */
-const leastTimeMs = 5
+/** Minimum time before the deadline for another attempt, in ms; with less, no answer could arrive in time. */
+const minRemainingMs = 5
 
 /**
- * An upstream that has sent nothing to anybody here for this many times the route's objective after a request was sent
- * is taken for silent. Repeatable requests go elsewhere then, and new ones avoid it.
+ * Silence timeout as a multiple of the route's latency objective. An upstream that sends this process no data at all for
+ * that long after a request was sent is suspected: idempotent requests fail over and new requests avoid it.
  */
-const silentObjectives = 1.5
-/** The least and the most time until an upstream is taken for silent, in ms: a queue of short requests, and a client's patience. */
-const minSilentMs = 500
-const maxSilentMs = 1_000
+const silenceObjectiveFactor = 1.5
+/** Bounds of the silence timeout, in ms: above the wait in a queue of short requests, and below client timeouts. */
+const minSilenceMs = 500
+const maxSilenceMs = 1_000
 /**
- * The same within a stream, in ms: half of the 2 s after which its client gives it up, so that as much is left for the
- * prompt to be read elsewhere.
+ * Silence timeout once an answer has begun, in ms. It is half of the 2 s after which clients abandon a stream, which
+ * leaves the other half for another upstream to process the prompt again.
  */
-const midStreamSilentMs = 1_000
+const streamSilenceMs = 1_000
 
 const okStatus = 200
-const leastServerError = 500
+const minServerErrorStatus = 500
 
-const unlimited: decideRetry.RetryAllowance = { retriesLeft: Infinity }
+const unlimitedRetries: decideRetry.RetryAllowance = { retriesLeft: Infinity }
 
-/** One request on its way to one upstream after another: while it is repeatable, or while nothing has run. */
+/** One request and its attempts at successive upstreams. It is retried only if it is idempotent or has not run. */
 export class Dispatch {
-  private readonly tried = new Set<types.UpstreamId>()
-  private attempts = 0
-  private hasPossiblyStarted = false
-  /** A request is on its way to an upstream, or runs there. */
-  private inFlight = false
+  private readonly triedUpstreams = new Set<types.UpstreamId>()
+  private attemptCount = 0
+  private mayHaveStarted = false
+  /** The current attempt was sent and has not failed. */
+  private isInFlight = false
   private exchange: sendHttp.Exchange | undefined
-  private over = false
-  /** The sink has the head of an answer. */
-  private answered = false
-  private release: (() => void) | undefined
-  private silence: timerService.Subscription | undefined
+  private isFinished = false
+  /** The head of an answer was passed to the sink. */
+  private hasHead = false
+  private releaseSlot: (() => void) | undefined
+  private silenceTimer: timerService.Subscription | undefined
 
   constructor (
     private readonly ports: DispatchPorts,
@@ -105,20 +105,20 @@
     private readonly sink: DispatchSink
   ) {}
 
-  /** Whether an upstream may have worked on the request. */
+  /** Whether an upstream may have processed the request. */
   get mayHaveRun (): boolean {
-    return this.hasPossiblyStarted || this.inFlight
+    return this.mayHaveStarted || this.isInFlight
   }
 
   start (): void {
-    this.attempt()
+    this.startAttempt()
   }
 
-  /** Gives the request up; the sink hears nothing more. */
+  /** Cancels the request; the sink is not called again. */
   cancel (): void {
-    this.over = true
-    this.silence?.cancel()
-    this.release?.()
+    this.isFinished = true
+    this.silenceTimer?.cancel()
+    this.releaseSlot?.()
     this.exchange?.cancel()
   }
 
@@ -130,200 +130,201 @@
     this.exchange?.resume()
   }
 
-  private attempt (): void {
-    const { timers, upstreams, peerLoads: loads } = this.ports
-    const leftMs = this.req.deadlineAt - timers.monotonic()
-    if (leftMs < leastTimeMs) {
-      this.fail({ tag: 'timeout', verdict: this.hasPossiblyStarted ? 'mayHaveRun' : 'notRun', message: 'no time left', afterMs: 0 })
+  private startAttempt (): void {
+    const { timers, upstreams, peerLoads } = this.ports
+    const remainingMs = this.req.deadlineAt - timers.monotonic()
+    if (remainingMs < minRemainingMs) {
+      this.fail({ tag: 'timeout', verdict: this.mayHaveStarted ? 'mayHaveRun' : 'notRun', message: 'deadline is too close for another attempt', afterMs: 0 })
       return
     }
     const upstream = trackUpstreams.chooseUpstream({
       candidates: upstreams.getByService(this.req.service),
-      tried: this.tried,
+      tried: this.triedUpstreams,
       affinity: this.options.affinity,
-      othersRunning: (id) => loads.getRunning(id),
+      othersRunning: (id) => peerLoads.getRunning(id),
       now: timers.monotonic(),
       random: Math.random
     })
     if (upstream === undefined) {
-      const retryAfterMs = this.tried.size > 0 ? fullRetryMs : noUpstreamRetryMs
-      this.fail({ tag: 'overloaded', verdict: 'notRun', message: 'no upstream may take the request', retryAfterMs })
+      const retryAfterMs = this.triedUpstreams.size > 0 ? queueFullRetryMs : noUpstreamRetryMs
+      this.fail({ tag: 'overloaded', verdict: 'notRun', message: 'no eligible upstream', retryAfterMs })
       return
     }
-    this.sendTo(upstream, leftMs)
+    this.sendTo(upstream, remainingMs)
   }
 
-  private sendTo (upstream: trackUpstreams.Upstream, leftMs: number): void {
-    const { dialect, health, retryBudget: retries, sender, timers } = this.ports
+  private sendTo (upstream: trackUpstreams.Upstream, remainingMs: number): void {
+    const { dialect, health, retryBudget: budget, sender, timers } = this.ports
     const { body } = this.options
     const id = upstream.listed.id
-    this.tried.add(id)
-    this.attempts += 1
+    this.triedUpstreams.add(id)
+    this.attemptCount += 1
     upstream.running += 1
-    this.release = () => {
+    this.releaseSlot = () => {
       upstream.running -= 1
-      this.release = undefined
+      this.releaseSlot = undefined
     }
     this.ports.decisions.note({
       event: 'sent',
       request: this.req.attempt.id,
-      attempt: this.attempts,
+      attempt: this.attemptCount,
       upstream: id,
       preferred: id === this.options.affinity?.holder,
       running: upstream.running,
       othersRunning: this.ports.peerLoads.getRunning(id),
       candidates: this.ports.upstreams.getByService(this.req.service).length,
       listAgeMs: Math.round(this.ports.listAgeMs()),
-      leftMs: Math.round(leftMs)
+      leftMs: Math.round(remainingMs)
     })
     const sentAt = timers.monotonic()
-    this.awaitSign(upstream, sentAt, this.silentMs())
-    let accepted = false
-    let first = true
-    const noteFirst = (): void => {
-      if (first) health.noteFirst(upstream, this.req.route, timers.monotonic() - sentAt)
-      first = false
+    this.restartSilenceTimer(upstream, sentAt, this.computeSilenceTimeoutMs())
+    let isAccepted = false
+    let isAwaitingFirstBytes = true
+    const noteFirstBytes = (): void => {
+      if (isAwaitingFirstBytes) health.noteFirstBytes(upstream, this.req.route, timers.monotonic() - sentAt)
+      isAwaitingFirstBytes = false
     }
     health.noteSent(upstream)
-    if (this.attempts === 1) retries.earn()
-    this.inFlight = true
+    if (this.attemptCount === 1) budget.creditFirstAttempt()
+    this.isInFlight = true
     this.exchange = sender.send({
       address: upstream.listed.address,
       method: this.req.method,
       path: this.req.path,
-      headers: dialect.upstreamHeaders(this.req.rawHeaders, { deadlineMs: Math.floor(leftMs), upstream: upstream.listed.name, bodyBytes: body.length, resumeAfter: this.options.resumeAfter?.(), caller: this.req.caller }),
+      headers: dialect.upstreamHeaders(this.req.rawHeaders, { deadlineMs: Math.floor(remainingMs), upstream: upstream.listed.name, bodyBytes: body.length, resumeAfter: this.options.resumeAfter?.(), caller: this.req.caller }),
       body,
       connectTimeoutMs,
       confirmMs: undefined,
       atMostOnce: this.req.route.repeatability === 'atMostOnce'
     }, {
       head: (head) => {
-        this.awaitSign(upstream, sentAt, midStreamSilentMs)
+        this.restartSilenceTimer(upstream, sentAt, streamSilenceMs)
         trackUpstreams.noteActivity(upstream, timers.monotonic())
-        const useless = checkAnswer.checkAnswer(dialect.answerFacts(head), head, this.req.attempt.id) ?? this.checkResumed(head)
-        if (useless === undefined) {
-          // Passed on as it is, and yet a failure: an upstream that makes many of them gets less work.
-          if (head.status >= leastServerError) health.noteBadAnswer(upstream)
-          accepted = true
-          this.hasPossiblyStarted = true
-          this.passHead(head, id)
+        const rejection = checkAnswer.checkAnswer(dialect.answerFacts(head), head, this.req.attempt.id) ?? this.checkResumedAnswer(head)
+        if (rejection === undefined) {
+          // The error is relayed unchanged but counts against the upstream: frequent errors lead to its ejection.
+          if (head.status >= minServerErrorStatus) health.noteFailedRequest(upstream)
+          isAccepted = true
+          this.mayHaveStarted = true
+          this.relayHead(head, id)
           return
         }
-        // The rest of an answer that is of no use is not read.
-        this.silence?.cancel()
+        // The body of a rejected answer is not read.
+        this.silenceTimer?.cancel()
         this.exchange?.cancel()
-        this.noteUseless(upstream, useless.says)
-        this.failedAt(upstream, useless.failure)
+        this.noteRejection(upstream, rejection.reason)
+        this.onAttemptFailed(upstream, rejection.failure)
       },
       data: (chunk) => {
         const now = timers.monotonic()
         trackUpstreams.noteActivity(upstream, now)
-        if (!accepted) return
-        noteFirst()
-        this.awaitSign(upstream, now, midStreamSilentMs)
+        if (!isAccepted) return
+        noteFirstBytes()
+        this.restartSilenceTimer(upstream, now, streamSilenceMs)
         this.sink.data(chunk)
       },
       end: () => {
-        if (!accepted) return
-        this.silence?.cancel()
-        noteFirst()
-        this.release?.()
+        if (!isAccepted) return
+        this.silenceTimer?.cancel()
+        noteFirstBytes()
+        this.releaseSlot?.()
         trackUpstreams.noteSuccess(upstream)
         this.sink.end()
       },
       fail: (failure) => {
-        this.silence?.cancel()
+        this.silenceTimer?.cancel()
         health.noteFailure(upstream)
-        const broken: errors.Failure = failure.verdict === 'notRun'
+        const attemptFailure: errors.Failure = failure.verdict === 'notRun'
           ? { tag: 'upstreamUnavailable', verdict: 'notRun', message: failure.detail, retryAfterMs: 0 }
           : { tag: 'answerBroken', verdict: 'mayHaveRun', message: failure.cause, detail: failure.detail }
-        if (accepted && !this.mayGoElsewhere()) {
-          this.release?.()
-          this.fail(broken)
+        if (isAccepted && !this.canFailOver()) {
+          this.releaseSlot?.()
+          this.fail(attemptFailure)
           return
         }
-        // A connection that was never made reached nobody.
-        if (failure.verdict === 'notRun') this.attempts -= 1
-        this.failedAt(upstream, broken, failure.reused)
+        // A request that was never sent does not use up an attempt.
+        if (failure.verdict === 'notRun') this.attemptCount -= 1
+        this.onAttemptFailed(upstream, attemptFailure, failure.reused)
       }
     })
   }
 
-  /** The head of the first answer is the client's; one that goes on with its stream has none of its own. */
-  private passHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
-    const { answered } = this
-    this.answered = true
-    if (answered) this.sink.resumed?.()
+  /** Passes on the head of the first answer. The head of a resumed stream is dropped, as the client already has one. */
+  private relayHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
+    const { hasHead: isResumed } = this
+    this.hasHead = true
+    if (isResumed) this.sink.resumed?.()
     else this.sink.head(head, upstream)
   }
 
-  /** Whether another upstream may take over; a part of an answer can only be gone on with where its stream may be resumed. */
-  private mayGoElsewhere (): boolean {
+  /** Whether the request may be sent to another upstream: after a partial answer only if the stream is resumable, before that if it is idempotent. */
+  private canFailOver (): boolean {
     const { repeatability, stream, maxAttempts } = this.req.route
-    // The last upstream that may be asked is waited for: it may yet answer.
-    if (this.attempts >= maxAttempts) return false
-    return this.answered ? stream?.resumable === true : repeatability === 'idempotent'
+    // The last permitted attempt keeps waiting, as its upstream may still answer.
+    if (this.attemptCount >= maxAttempts) return false
+    return this.hasHead ? stream?.resumable === true : repeatability === 'idempotent'
   }
 
-  /** An answer that is to go on with a stream must be one itself. */
-  private checkResumed (head: sendHttp.Head): checkAnswer.Useless | undefined {
-    if (!this.answered || head.status === okStatus) return undefined
-    return checkAnswer.faulty('stream not gone on with', String(head.status))
+  /** Rejects the answer to a resumed stream if it is not a stream, that is, if its status is not 200. */
+  private checkResumedAnswer (head: sendHttp.Head): checkAnswer.AnswerRejection | undefined {
+    if (!this.hasHead || head.status === okStatus) return undefined
+    return checkAnswer.rejectAsFaulty('stream was not resumed', String(head.status))
   }
 
-  /** Looks again after the time given, in ms, whether anything has come; a later sign starts the wait anew. */
-  private awaitSign (upstream: trackUpstreams.Upstream, since: number, limitMs: number): void {
-    this.silence?.cancel()
-    this.silence = this.ports.timers.after(limitMs, () => { this.onSilence(upstream, since, limitMs) })
+  /** Restarts the silence timeout, in ms. */
+  private restartSilenceTimer (upstream: trackUpstreams.Upstream, waitStartedAt: number, timeoutMs: number): void {
+    this.silenceTimer?.cancel()
+    this.silenceTimer = this.ports.timers.after(timeoutMs, () => { this.onSilenceTimeout(upstream, waitStartedAt, timeoutMs) })
   }
 
-  private silentMs (): number {
-    return Math.min(maxSilentMs, Math.max(minSilentMs, this.req.route.objectiveMs * silentObjectives))
+  private computeSilenceTimeoutMs (): number {
+    return Math.min(maxSilenceMs, Math.max(minSilenceMs, this.req.route.objectiveMs * silenceObjectiveFactor))
   }
 
   /**
-   * Nothing has come back yet. Where the upstream answers others, the request may just take its time: it is sent again
-   * elsewhere only if it may be repeated, and within a budget, so that a service with too much to do gets no more.
+   * No data arrived within the silence timeout. If the upstream has sent data for other requests, this one may just be
+   * slow: it fails over only if that is allowed and the retry budget permits, so that retries don't add load to an
+   * overloaded service.
    */
-  private onSilence (upstream: trackUpstreams.Upstream, since: number, limitMs: number): void {
-    if (this.over) return
-    const { health, retryBudget: retries, timers } = this.ports
-    const movable = this.mayGoElsewhere()
-    if (upstream.lastActivityAt <= since) health.noteSilent(upstream)
-    else if (movable && this.req.route.stream === undefined && retries.take()) health.noteBadAnswer(upstream)
+  private onSilenceTimeout (upstream: trackUpstreams.Upstream, waitStartedAt: number, timeoutMs: number): void {
+    if (this.isFinished) return
+    const { health, retryBudget: budget, timers } = this.ports
+    const isFailoverAllowed = this.canFailOver()
+    if (upstream.lastActivityAt <= waitStartedAt) health.noteUnresponsive(upstream)
+    else if (isFailoverAllowed && this.req.route.stream === undefined && budget.trySpend()) health.noteFailedRequest(upstream)
     else {
-      // A stream keeps its place in the upstream's queue: elsewhere it would begin at the end of another. The upstream may yet fall silent.
-      this.awaitSign(upstream, timers.monotonic(), limitMs)
+      // A stream keeps its place in the upstream's queue; elsewhere it would start at the end of another queue. The upstream may still stop responding, so keep watching.
+      this.restartSilenceTimer(upstream, timers.monotonic(), timeoutMs)
       return
     }
-    this.ports.decisions.note({ event: 'upstreamSilent', request: this.req.attempt.id, upstream: upstream.listed.id, afterMs: Math.round(timers.monotonic() - since) })
-    if (!movable) return
+    this.ports.decisions.note({ event: 'upstreamSilent', request: this.req.attempt.id, upstream: upstream.listed.id, afterMs: Math.round(timers.monotonic() - waitStartedAt) })
+    if (!isFailoverAllowed) return
     this.exchange?.cancel()
-    this.failedAt(upstream, { tag: 'upstreamUnavailable', verdict: 'mayHaveRun', message: 'silent', retryAfterMs: 0 })
+    this.onAttemptFailed(upstream, { tag: 'upstreamUnavailable', verdict: 'mayHaveRun', message: 'no data within the silence timeout', retryAfterMs: 0 })
   }
 
-  /** What a useless answer says of its upstream. */
-  private noteUseless (upstream: trackUpstreams.Upstream, says: checkAnswer.Useless['says']): void {
+  /** Updates the health of the upstream by why its answer was rejected. */
+  private noteRejection (upstream: trackUpstreams.Upstream, reason: checkAnswer.AnswerRejection['reason']): void {
     const { health, timers } = this.ports
-    switch (says) {
+    switch (reason) {
       case 'full': return trackUpstreams.noteQueueFull(upstream, timers.monotonic())
       case 'replaced': return health.noteFailure(upstream)
-      case 'faulty': return health.noteBadAnswer(upstream)
+      case 'faulty': return health.noteFailedRequest(upstream)
     }
   }
 
-  private failedAt (upstream: trackUpstreams.Upstream, failure: errors.Failure, reused?: boolean): void {
-    this.release?.()
-    this.inFlight = false
-    if (this.over) return
-    if (failure.verdict !== 'notRun') this.hasPossiblyStarted = true
+  private onAttemptFailed (upstream: trackUpstreams.Upstream, failure: errors.Failure, reused?: boolean): void {
+    this.releaseSlot?.()
+    this.isInFlight = false
+    if (this.isFinished) return
+    if (failure.verdict !== 'notRun') this.mayHaveStarted = true
     const now = this.ports.timers.monotonic()
     const decision = decideRetry.decideRetry({
       failure,
       idempotent: this.req.route.repeatability === 'idempotent',
-      attempt: this.attempts,
-      programBudget: unlimited,
-      processBudget: unlimited,
+      attempt: this.attemptCount,
+      programBudget: unlimitedRetries,
+      processBudget: unlimitedRetries,
       now,
       deadline: this.req.deadlineAt,
       random: Math.random
@@ -332,26 +333,26 @@
       event: 'sendFailed',
       request: this.req.attempt.id,
       upstream: upstream.listed.id,
-      attempt: this.attempts,
+      attempt: this.attemptCount,
       failure: { tag: failure.tag, verdict: failure.verdict, message: failure.message },
       reused,
       next: decision.type === 'retry' ? 'retry' : decision.reason,
       leftMs: Math.round(this.req.deadlineAt - now)
     })
-    if (decision.type === 'retry') this.attempt()
+    if (decision.type === 'retry') this.startAttempt()
     else this.fail(failure)
   }
 
   private fail (failure: errors.Failure): void {
-    if (this.over) return
-    this.over = true
-    this.sink.fail({ failure, mayHaveRun: this.hasPossiblyStarted })
+    if (this.isFinished) return
+    this.isFinished = true
+    this.sink.fail({ failure, mayHaveRun: this.mayHaveStarted })
   }
 }
 
-/** The refusal that a failed dispatch ends with. */
+/** Maps a failed dispatch to the refusal for the client. */
 export function toRefusal ({ failure, mayHaveRun }: DispatchFailure): inbound.Refusal {
-  if (failure.tag === 'timeout') return mayHaveRun ? { type: 'timeout' } : { type: 'upstreamsFull', retryAfterMs: fullRetryMs }
+  if (failure.tag === 'timeout') return mayHaveRun ? { type: 'timeout' } : { type: 'upstreamsFull', retryAfterMs: queueFullRetryMs }
   if (mayHaveRun) return { type: 'answerLost', detail: failure.message }
-  return { type: 'upstreamsFull', retryAfterMs: errors.retryAfterMs(failure) || fullRetryMs }
+  return { type: 'upstreamsFull', retryAfterMs: errors.retryAfterMs(failure) || queueFullRetryMs }
 }
--- a/packages/programs/front/src/find-chain.ts
+++ b/packages/programs/front/src/find-chain.ts
@@ -1,4 +1,4 @@
-/** Finds a turn of any program: a program may continue from a turn of another one, which lies in another shard. */
+/** Finds a turn in any shard: a program may continue from a turn of another program, whose shard may have another owner. */
 import type * as ownShards from '@eelgrasswind/own-shards'
 import * as shardLog from '@eelgrasswind/shard-log'
 import type * as turnLedger from '@eelgrasswind/turn-ledger'
@@ -6,58 +6,58 @@
 import * as memberName from './member-name.js'
 import * as peerCalls from './peer-calls.js'
 
-/** What it takes to ask every owner. */
-export interface FindPorts extends peerCalls.PeerCallPorts {
+/** Dependencies for querying all owners. */
+export interface FindChainPorts extends peerCalls.PeerCallPorts {
   readonly shards: ownShards.ShardOwner
 }
 
-/** A turn to continue from, and the client account that asks for it. */
-export interface WantedTurn {
+/** The turn to continue from, and the client account that requests it. */
+export interface ChainQuery {
   readonly turn: turnLedger.TurnId
   readonly account: types.AccountId | undefined
 }
 
-/** What all owners together know of a turn. */
-export type Found =
+/** Combined result of all owners. */
+export type FindChainResult =
   | { readonly type: 'found', readonly chain: readonly turnLedger.StoredTurn[] }
-  /** No shard holds it, and the store has confirmed every owner that says so. */
+  /** No shard has the turn, and the store has confirmed the ownership of every owner that answered so. */
   | { readonly type: 'absent' }
-  /** Some shards have no owner that could be asked. */
+  /** The owners of some shards could not be reached; `asked` counts the shards with a confirmed answer. */
   | { readonly type: 'unsure', readonly asked: number }
 
-/** Time for a peer's answer, in ms: it asks the store once. */
+/** Timeout for a peer's answer, in ms; the peer makes one call to the store. */
 const peerTimeoutMs = 250
 
-/** Asks once more where shards have changed hands since this process looked who owns them. */
-export async function findEverywhere (ports: FindPorts, wanted: WantedTurn): Promise<Found> {
-  const found = await askOwners(ports, wanted)
+/** Queries all owners, and once more after refreshing the owner table if some shards gave no answer: they may have new owners. */
+export async function findChainAtOwners (ports: FindChainPorts, query: ChainQuery): Promise<FindChainResult> {
+  const found = await askOwners(ports, query)
   if (found.type !== 'unsure') return found
   await ports.shards.refreshOwners()
-  return askOwners(ports, wanted)
+  return askOwners(ports, query)
 }
 
-async function askOwners (ports: FindPorts, wanted: WantedTurn): Promise<Found> {
+async function askOwners (ports: FindChainPorts, query: ChainQuery): Promise<FindChainResult> {
   const { shards } = ports
-  const others = shards.listMembers().filter((member) => !shards.isSelf(member))
-  const asked = others.map((member) => peerCalls.callPeer<peerCalls.FindChainAnswer>(ports, memberName.parsePeerAddress(member), { type: 'findChain', ...wanted }, peerTimeoutMs))
-  asked.push(findChainLocally(shards, wanted))
-  const absent = new Set<shardLog.PartitionName>()
-  for (const answer of await Promise.all(asked)) {
+  const otherMembers = shards.listMembers().filter((member) => !shards.isSelf(member))
+  const pendingAnswers = otherMembers.map((member) => peerCalls.callPeer<peerCalls.FindChainAnswer>(ports, memberName.parsePeerAddress(member), { type: 'findChain', ...query }, peerTimeoutMs))
+  pendingAnswers.push(findChainLocally(shards, query))
+  const confirmedAbsent = new Set<shardLog.PartitionName>()
+  for (const answer of await Promise.all(pendingAnswers)) {
     if (answer === undefined) continue
     if (answer.type === 'found') return answer
-    for (const partition of answer.partitions) absent.add(partition)
+    for (const partition of answer.partitions) confirmedAbsent.add(partition)
   }
-  return absent.size >= shards.shardCount ? { type: 'absent' } : { type: 'unsure', asked: absent.size }
+  return confirmedAbsent.size >= shards.shardCount ? { type: 'absent' } : { type: 'unsure', asked: confirmedAbsent.size }
 }
 
-/** Looks in the shards of this process. */
-export async function findChainLocally (shards: ownShards.ShardOwner, { turn, account }: WantedTurn): Promise<peerCalls.FindChainAnswer> {
-  const serving = shards.listServingShards()
-  for (const shard of serving) {
+/** Searches the shards of this process. */
+export async function findChainLocally (shards: ownShards.ShardOwner, { turn, account }: ChainQuery): Promise<peerCalls.FindChainAnswer> {
+  const servingShards = shards.listServingShards()
+  for (const shard of servingShards) {
     const chain = shard.ledger.exportChain(turn, account)
     if (chain !== undefined) return { type: 'found', chain }
   }
-  const confirmed = await Promise.all(serving.map(async (shard) => {
+  const confirmed = await Promise.all(servingShards.map(async (shard) => {
     const commit = await shard.confirmOwnership()
     return commit.type === 'committed' ? [shardLog.partitionName(shard.partition)] : []
   }))
--- a/packages/programs/front/src/meter-channel.ts
+++ b/packages/programs/front/src/meter-channel.ts
@@ -1,294 +1,297 @@
-/** Brings the requests of client accounts to the process that counts them: reports in batches, questions at once. */
+/** Connects a host to the process that meters a group of client accounts: counts are reported in batches, admission requests are sent at once. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as meterAccount from '@eelgrasswind/meter-account'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** One batch of reports. */
+/** A batch of account reports from one host. */
 export interface MeterCall {
   readonly type: 'meter'
-  /** Names the group of accounts whose owner is asked. */
+  /** Index of the account group that the call is for. */
   readonly group: number
-  /** Version of the configuration that the limits are from. */
+  /** Configuration version of the limits. */
   readonly version: number
   readonly reports: readonly meterAccount.MeterReport[]
 }
 
-/** What the owner says to it. */
+/** Answer to a batch of reports. */
 export type MeterCallAnswer =
   | { readonly type: 'metered', readonly answers: readonly meterAccount.MeterAnswer[] }
-  /** The asked process does not count these accounts. */
+  /** The called process does not own the account group. */
   | { readonly type: 'notOwner' }
 
-/** What becomes of a request. */
-export type Taken =
-  | { readonly type: 'taken' }
-  /** Decided by the owner, or by this host's own share of the limit while the owner can't be asked. */
+/** Whether a request is admitted. */
+export type AcquireResult =
+  | { readonly type: 'admitted' }
+  /** Refused by the owner, or by this host's own share of the limit while the owner is unreachable. */
   | { readonly type: 'limited', readonly retryAfterMs: number, readonly by: 'owner' | 'share', readonly requestsLeft: number }
 
-/** What a channel needs from its process. */
+/** Dependencies of a channel. */
 export interface MeterChannelPorts {
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
-  /** Makes the call at whoever owns the group now; `undefined`: no answer. */
-  readonly call: (call: MeterCall) => Promise<MeterCallAnswer | undefined>
-  /** The limit in force of an account; `undefined`: none. */
-  readonly limitOf: (account: types.AccountId) => meterAccount.MeterLimit | undefined
-  readonly version: () => number
-  /** Hosts that send requests of accounts, this one included. */
-  readonly hosts: () => number
+  /** Calls the current owner of the group; `undefined` if there is no answer. */
+  readonly callOwner: (call: MeterCall) => Promise<MeterCallAnswer | undefined>
+  /** Returns the limit of an account; `undefined` if it has none. */
+  readonly getLimit: (account: types.AccountId) => meterAccount.MeterLimit | undefined
+  readonly getVersion: () => number
+  /** Number of hosts that admit requests of accounts, including this one. */
+  readonly countHosts: () => number
 }
 
-interface Question {
-  readonly part: meterAccount.RequestPosition
-  readonly done: (taken: Taken) => void
+/** A request that waits for the owner's answer. */
+interface PendingRequest {
+  readonly position: meterAccount.RequestPosition
+  readonly onDecided: (result: AcquireResult) => void
 }
 
-/** One account at this host. */
-interface Entry {
-  belief: meterAccount.AccountEstimate | undefined
-  /** Let through before the owner has said anything. */
-  early: meterAccount.RequestCounts
-  questions: Question[]
-  /** What this host may send by itself while nobody counts. */
-  share: meterAccount.AccountMeter | undefined
-  usedAt: number
+/** State of one account at this host. */
+interface AccountEntry {
+  estimate: meterAccount.AccountEstimate | undefined
+  /** Unreported requests that were admitted before the first answer of the owner. */
+  admittedEarly: meterAccount.RequestCounts
+  pending: PendingRequest[]
+  /** Meter of this host's share of the limit, used while the owner is unreachable. */
+  fallbackMeter: meterAccount.AccountMeter | undefined
+  lastUsedAt: number
 }
 
-/** Pause between two reports, in ms, and how it grows with the hosts that report to one owner, in ms a host. */
-const reportMs = 300
-const reportMsPerHost = 3
-/** Pause before an owner that did not answer is asked again, in ms. */
-const againMs = 150
+/** Minimum interval between reports, in ms, and the interval per reporting host, in ms per host, which bounds the load of the owner. */
+const reportIntervalMs = 300
+const reportIntervalMsPerHost = 3
+/** Retry interval for an unreachable owner, in ms. */
+const ownerRetryMs = 150
 /**
- * While the owner changes, hosts go on by what they believe, and what would have to be asked waits. After this long, in
- * ms, each host keeps to its share instead: longer than an owner that ended is missed.
+ * During a change of owner, hosts continue with their estimates, and requests that need the owner's answer wait. After
+ * this time, in ms, each host falls back to its share of the limit. It is longer than the takeover from an owner that
+ * has exited.
  */
-const ownerlessMs = 1_000
-/** A host by itself uses this part of its share: others may still be counted in full beyond a cut. */
-const shareDivisor = 2
-/** An account that sends nothing for this long is forgotten, in ms. */
-const idleMs = 10_000
-/** The term of what no owner has said. */
+const fallbackAfterMs = 1_000
+/** In fallback mode a host uses its share divided by this: beyond a network partition, others may still use the full limit. */
+const fallbackDivisor = 2
+/** An account without requests for this long, in ms, is removed. */
+const accountIdleMs = 10_000
+/** Term of a state that doesn't come from an owner. */
 const noTerm = -1
 
-/** The accounts of one group at this host. One call is under way at a time; what comes meanwhile goes with the next. */
+/** The accounts of one group at this host. At most one call is in flight; whatever arrives meanwhile is sent with the next one. */
 export class MeterChannel {
-  private readonly entries = new Map<types.AccountId, Entry>()
-  private timer: timerService.Subscription | undefined
-  private calling = false
+  private readonly entries = new Map<types.AccountId, AccountEntry>()
+  private reportTimer: timerService.Subscription | undefined
+  private isCallInFlight = false
   private readonly startedAt: number
-  /** Since when the owner can't be asked, monotonic ms. */
-  private failingSince: number | undefined
+  /** When the owner became unreachable, monotonic ms; `undefined` while it is reachable. */
+  private unreachableSince: number | undefined
 
   constructor (private readonly group: number, private readonly ports: MeterChannelPorts) {
     this.startedAt = ports.timers.monotonic()
   }
 
-  /** Lets a request through or not. */
-  take (account: types.AccountId, part: meterAccount.RequestPosition): Taken | Promise<Taken> {
-    const limit = this.ports.limitOf(account)
-    if (limit === undefined) return { type: 'taken' }
+  /** Admits or refuses a request. Near the limit it waits for the owner's answer. */
+  acquire (account: types.AccountId, position: meterAccount.RequestPosition): AcquireResult | Promise<AcquireResult> {
+    const limit = this.ports.getLimit(account)
+    if (limit === undefined) return { type: 'admitted' }
     const now = this.ports.timers.monotonic()
-    const entry = this.entryOf(account)
-    entry.usedAt = now
-    const belief = this.refresh(entry, limit, now)
-    if (this.failingMs >= ownerlessMs) return this.takeFromShare(entry, limit, part)
-    if (belief !== undefined && meterAccount.canSendUnasked(belief, part)) {
-      entry.belief = meterAccount.countRequest(belief, part, 1)
-      this.report()
-      return { type: 'taken' }
+    const entry = this.getOrCreateEntry(account)
+    entry.lastUsedAt = now
+    const estimate = this.refreshEstimate(entry, limit, now)
+    if (this.unreachableMs >= fallbackAfterMs) return this.acquireFromFallback(entry, limit, position)
+    if (estimate !== undefined && meterAccount.canSendUnasked(estimate, position)) {
+      entry.estimate = meterAccount.countRequest(estimate, position, 1)
+      this.scheduleReport()
+      return { type: 'admitted' }
     }
     return new Promise((resolve) => {
-      entry.questions.push({ part, done: resolve })
-      // A new owner is asked with the next report.
-      if (this.failingSince === undefined) void this.flush()
-      else this.report()
+      entry.pending.push({ position, onDecided: resolve })
+      // While the owner is unreachable, the request waits for the next scheduled report.
+      if (this.unreachableSince === undefined) void this.sendReports()
+      else this.scheduleReport()
     })
   }
 
-  /** Takes a request back that was let through and has not run. */
-  refund (account: types.AccountId, part: meterAccount.RequestPosition): void {
+  /** Undoes the count of a request that was admitted but has not run. */
+  refund (account: types.AccountId, position: meterAccount.RequestPosition): void {
     const entry = this.entries.get(account)
-    if (entry?.belief === undefined) return
-    entry.belief = meterAccount.countRequest(entry.belief, part, -1)
-    this.report()
+    if (entry?.estimate === undefined) return
+    entry.estimate = meterAccount.countRequest(entry.estimate, position, -1)
+    this.scheduleReport()
   }
 
-  /** Forgets accounts that are quiet. */
+  /** Removes idle accounts. */
   prune (): void {
-    const oldest = this.ports.timers.monotonic() - idleMs
+    const expiresBefore = this.ports.timers.monotonic() - accountIdleMs
     for (const [account, entry] of this.entries) {
-      if (entry.usedAt < oldest && entry.questions.length === 0) this.entries.delete(account)
+      if (entry.lastUsedAt < expiresBefore && entry.pending.length === 0) this.entries.delete(account)
     }
   }
 
   close (): void {
-    this.timer?.cancel()
+    this.reportTimer?.cancel()
   }
 
-  /** How long the owner can't be asked, in ms; 0 while it can. */
-  private get failingMs (): number {
-    return this.failingSince === undefined ? 0 : this.ports.timers.monotonic() - this.failingSince
+  /** How long the owner has been unreachable, in ms; 0 while it is reachable. */
+  private get unreachableMs (): number {
+    return this.unreachableSince === undefined ? 0 : this.ports.timers.monotonic() - this.unreachableSince
   }
 
-  private entryOf (account: types.AccountId): Entry {
+  private getOrCreateEntry (account: types.AccountId): AccountEntry {
     const known = this.entries.get(account)
     if (known !== undefined) return known
-    const created: Entry = { belief: undefined, early: meterAccount.noRequests, questions: [], share: undefined, usedAt: 0 }
+    const created: AccountEntry = { estimate: undefined, admittedEarly: meterAccount.noRequests, pending: [], fallbackMeter: undefined, lastUsedAt: 0 }
     this.entries.set(account, created)
     return created
   }
 
-  /** The belief as of now, under the limit in force. */
-  private refresh (entry: Entry, limit: meterAccount.MeterLimit, now: number): meterAccount.AccountEstimate | undefined {
-    const { belief } = entry
-    if (belief === undefined) return undefined
-    const sameLimit = belief.meter.limit.requestsPerSecond === limit.requestsPerSecond && belief.meter.limit.burst === limit.burst
-    const meter = sameLimit ? belief.meter : meterAccount.applyLimit(belief.meter, limit)
-    // What becomes free while nobody counts is not known to be left.
-    const filled = this.failingSince === undefined ? meterAccount.refillMeter(meter, now) : meter
-    entry.belief = { ...belief, meter: filled }
-    return entry.belief
+  /** Updates the estimate to the current time and limit. */
+  private refreshEstimate (entry: AccountEntry, limit: meterAccount.MeterLimit, now: number): meterAccount.AccountEstimate | undefined {
+    const { estimate } = entry
+    if (estimate === undefined) return undefined
+    const isSameLimit = estimate.meter.limit.requestsPerSecond === limit.requestsPerSecond && estimate.meter.limit.burst === limit.burst
+    const meter = isSameLimit ? estimate.meter : meterAccount.applyLimit(estimate.meter, limit)
+    // Without an owner the estimate is not refilled, as other hosts may use what becomes free.
+    const refilled = this.unreachableSince === undefined ? meterAccount.refillMeter(meter, now) : meter
+    entry.estimate = { ...estimate, meter: refilled }
+    return entry.estimate
   }
 
-  private takeFromShare (entry: Entry, limit: meterAccount.MeterLimit, part: meterAccount.RequestPosition): Taken {
+  private acquireFromFallback (entry: AccountEntry, limit: meterAccount.MeterLimit, position: meterAccount.RequestPosition): AcquireResult {
     const now = this.ports.timers.monotonic()
-    const hosts = this.ports.hosts() * shareDivisor
-    const share = entry.share ?? meterAccount.createFallbackMeter(limit, entry.belief, hosts, this.failingSince ?? now, now)
-    const filled = meterAccount.refillMeter(meterAccount.applyLimit(share, meterAccount.divideLimit(limit, hosts)), now)
-    entry.share = filled
-    if (meterAccount.computeHeadroom(filled, part) < 0) return { type: 'limited', retryAfterMs: meterAccount.computeWaitMs(filled, part), by: 'share', requestsLeft: filled.level }
-    entry.share = meterAccount.spend(filled, meterAccount.createSingleCount(part))
-    if (entry.belief === undefined) entry.early = meterAccount.addCounts(entry.early, meterAccount.createSingleCount(part))
-    else entry.belief = meterAccount.countRequest(entry.belief, part, 1)
-    this.report()
-    return { type: 'taken' }
+    const divisor = this.ports.countHosts() * fallbackDivisor
+    const fallbackMeter = entry.fallbackMeter ?? meterAccount.createFallbackMeter(limit, entry.estimate, divisor, this.unreachableSince ?? now, now)
+    const refilled = meterAccount.refillMeter(meterAccount.applyLimit(fallbackMeter, meterAccount.divideLimit(limit, divisor)), now)
+    entry.fallbackMeter = refilled
+    if (meterAccount.computeHeadroom(refilled, position) < 0) return { type: 'limited', retryAfterMs: meterAccount.computeWaitMs(refilled, position), by: 'share', requestsLeft: refilled.level }
+    entry.fallbackMeter = meterAccount.spend(refilled, meterAccount.createSingleCount(position))
+    if (entry.estimate === undefined) entry.admittedEarly = meterAccount.addCounts(entry.admittedEarly, meterAccount.createSingleCount(position))
+    else entry.estimate = meterAccount.countRequest(entry.estimate, position, 1)
+    this.scheduleReport()
+    return { type: 'admitted' }
   }
 
-  /** Sends what has gathered, within a while. */
-  private report (): void {
-    if (this.timer !== undefined) return
-    const pauseMs = this.failingSince === undefined ? Math.max(reportMs, reportMsPerHost * this.ports.hosts()) : againMs
-    this.timer = this.ports.timers.after(pauseMs, () => {
-      this.timer = undefined
-      void this.flush()
+  /** Schedules the next report unless one is scheduled. */
+  private scheduleReport (): void {
+    if (this.reportTimer !== undefined) return
+    const pauseMs = this.unreachableSince === undefined ? Math.max(reportIntervalMs, reportIntervalMsPerHost * this.ports.countHosts()) : ownerRetryMs
+    this.reportTimer = this.ports.timers.after(pauseMs, () => {
+      this.reportTimer = undefined
+      void this.sendReports()
     })
   }
 
-  private async flush (): Promise<void> {
-    if (this.calling) return
-    this.timer?.cancel()
-    this.timer = undefined
-    const batch = this.gather()
+  private async sendReports (): Promise<void> {
+    if (this.isCallInFlight) return
+    this.reportTimer?.cancel()
+    this.reportTimer = undefined
+    const batch = this.collectBatch()
     if (batch.length === 0) {
-      // The next question tells whether the owner can be asked again.
-      this.failingSince = undefined
+      // There is nothing to retry; the next request shows whether the owner is reachable again.
+      this.unreachableSince = undefined
       return
     }
-    this.calling = true
-    const answer = await this.ports.call({ type: 'meter', group: this.group, version: this.ports.version(), reports: batch.map(({ report }) => report) })
-    this.calling = false
-    if (answer?.type === 'metered') this.takeAnswers(batch, answer.answers)
+    this.isCallInFlight = true
+    const answer = await this.ports.callOwner({ type: 'meter', group: this.group, version: this.ports.getVersion(), reports: batch.map(({ report }) => report) })
+    this.isCallInFlight = false
+    if (answer?.type === 'metered') this.applyAnswers(batch, answer.answers)
     else this.noteFailure(batch, answer?.type ?? 'noAnswer')
-    const isAsked = [...this.entries.values()].some(({ questions }) => questions.length > 0)
-    if (isAsked && this.failingSince === undefined) void this.flush()
-    else if (isAsked || this.hasUnreported() || this.failingSince !== undefined) this.report()
+    const hasPending = [...this.entries.values()].some(({ pending }) => pending.length > 0)
+    if (hasPending && this.unreachableSince === undefined) void this.sendReports()
+    else if (hasPending || this.hasUnreported() || this.unreachableSince !== undefined) this.scheduleReport()
   }
 
   private hasUnreported (): boolean {
-    return [...this.entries.values()].some((entry) => !meterAccount.isZero(spentOf(entry)))
+    return [...this.entries.values()].some((entry) => !meterAccount.isZero(countUnreported(entry)))
   }
 
-  /** Takes what is to be reported and asked out of the entries, until the answer says what became of it. */
-  private gather (): Batched[] {
+  /** Moves unreported counts and pending requests from the entries into a batch; `restoreUnreported` undoes that if the call fails. */
+  private collectBatch (): BatchItem[] {
     const now = this.ports.timers.monotonic()
-    const batch: Batched[] = []
+    const batch: BatchItem[] = []
     for (const [account, entry] of this.entries) {
-      const spent = spentOf(entry)
-      if (entry.questions.length === 0 && meterAccount.isZero(spent)) continue
-      const limit = this.ports.limitOf(account)
-      const questions = entry.questions.splice(0)
+      const spent = countUnreported(entry)
+      if (entry.pending.length === 0 && meterAccount.isZero(spent)) continue
+      const limit = this.ports.getLimit(account)
+      const pending = entry.pending.splice(0)
       if (limit === undefined) {
         this.entries.delete(account)
-        for (const { done } of questions) done({ type: 'taken' })
+        for (const { onDecided } of pending) onDecided({ type: 'admitted' })
         continue
       }
-      const { belief } = entry
-      const believed = belief === undefined ? this.quietBelief(limit, now) : { state: meterAccount.computeConfirmedState(belief, now), term: belief.term }
-      batch.push({ entry, questions, limit, report: { account, limit, spent, asked: countParts(questions), believed } })
-      entry.early = meterAccount.noRequests
-      if (belief !== undefined) entry.belief = { ...belief, unreported: meterAccount.noRequests }
+      const { estimate } = entry
+      const believed = estimate === undefined ? this.createIdleState(limit, now) : { state: meterAccount.computeConfirmedState(estimate, now), term: estimate.term }
+      batch.push({ entry, pending, limit, report: { account, limit, spent, asked: countPositions(pending), believed } })
+      entry.admittedEarly = meterAccount.noRequests
+      if (estimate !== undefined) entry.estimate = { ...estimate, unreported: meterAccount.noRequests }
     }
     return batch
   }
 
-  /** A host that has run for longer than accounts are remembered, and knows nothing of one, has let nothing through for it. */
-  private quietBelief (limit: meterAccount.MeterLimit, now: number): meterAccount.ConfirmedState | undefined {
-    if (now - this.startedAt < idleMs) return undefined
+  /** A host that has run for longer than accounts are remembered and has no estimate of an account has admitted no requests for it: the account is at full capacity. */
+  private createIdleState (limit: meterAccount.MeterLimit, now: number): meterAccount.ConfirmedState | undefined {
+    if (now - this.startedAt < accountIdleMs) return undefined
     return { state: meterAccount.createState(meterAccount.computeCapacity(limit)), term: noTerm }
   }
 
-  private takeAnswers (batch: readonly Batched[], answers: readonly meterAccount.MeterAnswer[]): void {
+  private applyAnswers (batch: readonly BatchItem[], answers: readonly meterAccount.MeterAnswer[]): void {
     const now = this.ports.timers.monotonic()
-    this.failingSince = undefined
+    this.unreachableSince = undefined
     const byAccount = new Map(answers.map((answer) => [answer.account, answer]))
-    for (const { entry, questions, limit, report } of batch) {
+    for (const { entry, pending, limit, report } of batch) {
       const answer = byAccount.get(report.account)
       if (answer === undefined) {
-        this.putBack(entry, report)
-        this.keepOrDecide(entry, questions, limit)
+        this.restoreUnreported(entry, report)
+        this.requeueOrDecide(entry, pending, limit)
         continue
       }
-      entry.share = undefined
-      entry.belief = meterAccount.createEstimate(limit, answer, spentOf(entry), now)
-      entry.early = meterAccount.noRequests
-      const left = { ...answer.granted }
-      for (const { part, done } of questions) {
-        if (left[part] > 0) done({ type: 'taken' })
-        else done({ type: 'limited', retryAfterMs: answer.waitMs[part], by: 'owner', requestsLeft: answer.state.level })
-        left[part] -= 1
+      entry.fallbackMeter = undefined
+      entry.estimate = meterAccount.createEstimate(limit, answer, countUnreported(entry), now)
+      entry.admittedEarly = meterAccount.noRequests
+      const remaining = { ...answer.granted }
+      for (const { position, onDecided } of pending) {
+        if (remaining[position] > 0) onDecided({ type: 'admitted' })
+        else onDecided({ type: 'limited', retryAfterMs: answer.waitMs[position], by: 'owner', requestsLeft: answer.state.level })
+        remaining[position] -= 1
       }
     }
   }
 
-  private noteFailure (batch: readonly Batched[], why: string): void {
+  private noteFailure (batch: readonly BatchItem[], why: string): void {
     const now = this.ports.timers.monotonic()
-    if (this.failingSince === undefined) this.ports.decisions.note({ event: 'meterOwnerAway', group: this.group, why })
-    this.failingSince ??= now
-    for (const { entry, questions, limit, report } of batch) {
-      this.putBack(entry, report)
-      this.keepOrDecide(entry, questions, limit)
+    if (this.unreachableSince === undefined) this.ports.decisions.note({ event: 'meterOwnerAway', group: this.group, why })
+    this.unreachableSince ??= now
+    for (const { entry, pending, limit, report } of batch) {
+      this.restoreUnreported(entry, report)
+      this.requeueOrDecide(entry, pending, limit)
     }
   }
 
-  private putBack (entry: Entry, report: meterAccount.MeterReport): void {
-    if (entry.belief === undefined) entry.early = meterAccount.addCounts(entry.early, report.spent)
-    else entry.belief = { ...entry.belief, unreported: meterAccount.addCounts(entry.belief.unreported, report.spent) }
+  private restoreUnreported (entry: AccountEntry, report: meterAccount.MeterReport): void {
+    if (entry.estimate === undefined) entry.admittedEarly = meterAccount.addCounts(entry.admittedEarly, report.spent)
+    else entry.estimate = { ...entry.estimate, unreported: meterAccount.addCounts(entry.estimate.unreported, report.spent) }
   }
 
-  /** Questions wait for the next owner, or are decided here where there was none for too long. */
-  private keepOrDecide (entry: Entry, questions: readonly Question[], limit: meterAccount.MeterLimit): void {
-    if (this.failingMs < ownerlessMs) {
-      entry.questions.unshift(...questions)
+  /** Requeues pending requests for the next owner, or decides them by the fallback share if the owner has been unreachable for too long. */
+  private requeueOrDecide (entry: AccountEntry, pending: readonly PendingRequest[], limit: meterAccount.MeterLimit): void {
+    if (this.unreachableMs < fallbackAfterMs) {
+      entry.pending.unshift(...pending)
       return
     }
-    for (const { part, done } of questions) done(this.takeFromShare(entry, limit, part))
+    for (const { position, onDecided } of pending) onDecided(this.acquireFromFallback(entry, limit, position))
   }
 }
 
-interface Batched {
-  readonly entry: Entry
-  readonly questions: readonly Question[]
+/** One account's report in a batch, with the requests that wait for its answer. */
+interface BatchItem {
+  readonly entry: AccountEntry
+  readonly pending: readonly PendingRequest[]
   readonly limit: meterAccount.MeterLimit
   readonly report: meterAccount.MeterReport
 }
 
-function spentOf (entry: Entry): meterAccount.RequestCounts {
-  return entry.belief === undefined ? entry.early : meterAccount.addCounts(entry.belief.unreported, entry.early)
+function countUnreported (entry: AccountEntry): meterAccount.RequestCounts {
+  return entry.estimate === undefined ? entry.admittedEarly : meterAccount.addCounts(entry.estimate.unreported, entry.admittedEarly)
 }
 
-function countParts (questions: readonly Question[]): meterAccount.RequestCounts {
-  const first = questions.filter(({ part }) => part === 'first').length
-  return { first, further: questions.length - first }
+function countPositions (pending: readonly PendingRequest[]): meterAccount.RequestCounts {
+  const first = pending.filter(({ position }) => position === 'first').length
+  return { first, further: pending.length - first }
 }
--- a/packages/programs/front/src/program-admission.test.ts
+++ b/packages/programs/front/src/program-admission.test.ts
@@ -11,8 +11,8 @@
 const request = { turn: 't1', program: 'p1' } as unknown as turnLedger.TurnRequest
 const engine: routeRequest.EngineRules = { slots: 6, memoryTokens: 100_000, tokensPerEvent: 10 }
 
-/** Admission at an engine with so many requests, half a chance drawn each time. */
-function admissionAt (running: number, rules: routeRequest.EngineRules | undefined): programAdmission.ProgramAdmission {
+/** Admission control for one engine with `running` requests in flight; random numbers are always 0.5. */
+function createAdmission (running: number, rules: routeRequest.EngineRules | undefined): programAdmission.ProgramAdmission {
   const upstreams = new trackUpstreams.UpstreamList()
   upstreams.put({ id: 'e1' as types.UpstreamId, service, address: 'e1:1', name: 'e1', slots: 6, leaving: false })
   upstreams.get('e1' as types.UpstreamId)!.running = running
@@ -26,21 +26,21 @@
   })
 }
 
-/** Whether a program is let in beside six requests at six slots, after prompts of a size. */
-function admitsFull (rules: routeRequest.EngineRules | undefined, promptTokens: number): boolean {
-  const admission = admissionAt(6, rules)
-  admission.notePrompt(service, promptTokens)
-  return admission.admits(request, service)
+/** Whether a program is admitted while six requests use all six slots, after a prompt of the given size in tokens. */
+function admitsAtFullSlots (rules: routeRequest.EngineRules | undefined, promptTokens: number): boolean {
+  const admission = createAdmission(6, rules)
+  admission.observePromptSize(service, promptTokens)
+  return admission.tryAdmit(request, service)
 }
 
-tap.test('engines that hold all their slots are filled, others are not', (t) => {
-  t.ok(admitsFull(engine, 4_000), 'six prompts are a quarter of the memory')
-  t.notOk(admitsFull(engine, 14_000), 'six prompts take most of it')
+tap.test('programs are admitted at full slots only if the cache holds prompts for all slots', (t) => {
+  t.ok(admitsAtFullSlots(engine, 4_000), 'six prompts take a quarter of the cache')
+  t.notOk(admitsAtFullSlots(engine, 14_000), 'six prompts take most of the cache')
   t.end()
 })
 
-tap.test('without a known size of prompts or memory, slots are taken for scarce', (t) => {
-  t.notOk(admitsFull(engine, 0), 'no client has named a size')
-  t.notOk(admitsFull(undefined, 4_000), 'the operator names no memory')
+tap.test('programs are not admitted at full slots if the size of prompts or cache is unknown', (t) => {
+  t.notOk(admitsAtFullSlots(engine, 0), 'no client has stated a prompt size')
+  t.notOk(admitsAtFullSlots(undefined, 4_000), 'the cache size is not configured')
   t.end()
 })
--- a/packages/programs/front/src/program-admission.ts
+++ b/packages/programs/front/src/program-admission.ts
@@ -1,4 +1,4 @@
-/** Admits new programs at the owner of their shard, by the load of the engines as this process knows it. */
+/** Admission control for new programs at the owner of their shard, based on the engine load that this process knows of. */
 import * as admitProgram from '@eelgrasswind/admit-program'
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as routeRequest from '@eelgrasswind/route-request'
@@ -7,38 +7,38 @@
 import type * as turnLedger from '@eelgrasswind/turn-ledger'
 import type * as types from '@eelgrasswind/types'
 
-/** What it takes to admit programs. */
+/** Dependencies for admitting programs. */
 export interface ProgramAdmissionPorts {
   readonly upstreams: trackUpstreams.UpstreamList
-  /** What other processes have running at the upstreams. */
+  /** Requests that other front processes have in flight at the upstreams. */
   readonly peerLoads: trackUpstreams.PeerLoads
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
-  /** What the operator says of the engines of a service. */
+  /** Returns the configured properties of a service's engines. */
   readonly findEngineRules: (service: types.ServiceId) => routeRequest.EngineRules | undefined
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   readonly random: () => number
 }
 
-/** The part of a new prompt in the mean of those before. */
-const newestPart = 0.02
+/** Weight of a new prompt in the moving average of prompt sizes. */
+const promptSmoothingFactor = 0.02
 
-/** Refuses new programs while the engines have too much to do. */
+/** Refuses new programs while the engines are overloaded. */
 export class ProgramAdmission {
-  /** Mean size of the prompts of a service, in tokens. */
-  private readonly promptTokens = new Map<types.ServiceId, number>()
+  /** Moving average of a service's prompt sizes, in tokens. */
+  private readonly meanPromptTokens = new Map<types.ServiceId, number>()
 
   constructor (private readonly ports: ProgramAdmissionPorts) {}
 
-  /** A turn is about to be sent: learns what the engines' memory has to hold. Tokens: of the whole prompt; 0 where its client does not say. */
-  notePrompt (service: types.ServiceId, tokens: number): void {
+  /** Records the size of a whole prompt that is about to be sent, in tokens; 0 if the client doesn't state it. */
+  observePromptSize (service: types.ServiceId, tokens: number): void {
     if (tokens === 0) return
-    const mean = this.promptTokens.get(service) ?? tokens
-    this.promptTokens.set(service, mean + newestPart * (tokens - mean))
+    const mean = this.meanPromptTokens.get(service) ?? tokens
+    this.meanPromptTokens.set(service, mean + promptSmoothingFactor * (tokens - mean))
   }
 
-  /** Whether the first turn of a program may run now. */
-  admits (request: turnLedger.TurnRequest, service: types.ServiceId): boolean {
+  /** Returns whether the first turn of a program may run now; logs a refusal. */
+  tryAdmit (request: turnLedger.TurnRequest, service: types.ServiceId): boolean {
     const { upstreams, peerLoads: loads, timers, decisions, random } = this.ports
     const load = trackUpstreams.computeServiceLoad({ candidates: upstreams.getByService(service), othersRunning: (id) => loads.getRunning(id), now: timers.monotonic() })
     const holdsAllSlots = this.holdsAllSlots(service)
@@ -47,9 +47,10 @@
     return false
   }
 
+  /** Whether the cache of an engine is large enough for prompts of average size in all of its slots; false if the sizes are unknown. */
   private holdsAllSlots (service: types.ServiceId): boolean {
     const engine = this.ports.findEngineRules(service)
-    const meanCallTokens = this.promptTokens.get(service)
+    const meanCallTokens = this.meanPromptTokens.get(service)
     if (engine === undefined || meanCallTokens === undefined) return false
     return admitProgram.computeUsableSlots({ slots: engine.slots, cacheTokens: engine.memoryTokens, meanCallTokens }) >= engine.slots
   }
--- a/packages/programs/front/src/retry-budget.ts
+++ b/packages/programs/front/src/retry-budget.ts
@@ -1,17 +1,17 @@
-/** Retries that this process may make of requests whose first attempt may still be running. */
+/** Retry budget of this process for requests whose first attempt may still be running. */
 import * as limitClient from '@eelgrasswind/limit-client'
 
-/** Earned by first attempts, so that retries stay a small part of all requests. */
+/** First attempts add to the budget and retries spend from it, so retries stay a small fraction of all requests. */
 export class RetryBudget {
   private budget = limitClient.createRetryBudget(limitClient.processRetrySettings)
 
-  /** A first attempt was made. */
-  earn (): void {
+  /** Adds to the budget for a first attempt. */
+  creditFirstAttempt (): void {
     this.budget = limitClient.earnRetry(this.budget)
   }
 
-  /** Whether a retry may be made now; if so, it is spent. */
-  take (): boolean {
+  /** Spends one retry if the budget allows it. */
+  trySpend (): boolean {
     if (this.budget.retriesLeft < 1) return false
     this.budget = limitClient.spendRetry(this.budget)
     return true
--- a/packages/programs/front/src/route-turn.ts
+++ b/packages/programs/front/src/route-turn.ts
@@ -1,4 +1,4 @@
-/** Brings a turn to the owner of its program: here, or at another front process. */
+/** Routes a turn to the owner of its program: this process or another front process. */
 import type * as ownShards from '@eelgrasswind/own-shards'
 import type * as shardLog from '@eelgrasswind/shard-log'
 import type * as types from '@eelgrasswind/types'
@@ -9,48 +9,48 @@
 import * as memberName from './member-name.js'
 import type * as peerFailureDetector from './peer-failure-detector.js'
 import * as serveTurn from './serve-turn.js'
-import * as serveUnkept from './serve-unkept.js'
+import * as serveUnretained from './serve-unretained.js'
 
-/** What it takes to bring turns to their owners. */
+/** Dependencies for routing turns. */
 export interface RouteTurnPorts extends serveTurn.TurnPorts, forwardTurn.ForwardPorts {
-  /** Peers that did not answer lately. */
+  /** Peers that recently failed to answer. */
   readonly suspects: SuspectedPeers
-  /** Told when a peer did not answer; knows whether this process is the one that is cut off. */
+  /** Checks suspected peers, and detects whether this process itself is partitioned from its peers. */
   readonly failureDetector: Pick<peerFailureDetector.PeerFailureDetector, 'suspect' | 'noteReportedSilent' | 'isIsolated'>
 }
 
-/** Peers that did not answer are left alone for a while, so that only the first turn waits for them. */
+/** Peers that recently failed to answer. Turns are not forwarded to them for a while, so that only the first turn waits for the timeout. */
 export class SuspectedPeers {
-  private readonly seen = new Map<string, { readonly since: number, readonly until: number }>()
+  private readonly suspicions = new Map<string, { readonly since: number, readonly until: number }>()
 
   add (member: string, now: number): void {
-    const known = this.seen.get(member)
-    const since = known !== undefined && now - known.until < forgetMs ? known.since : now
-    this.seen.set(member, { since, until: now + suspectMs })
+    const suspicion = this.suspicions.get(member)
+    const since = suspicion !== undefined && now - suspicion.until < suspicionMemoryMs ? suspicion.since : now
+    this.suspicions.set(member, { since, until: now + suspicionMs })
   }
 
   has (member: string, now: number): boolean {
-    return (this.seen.get(member)?.until ?? -Infinity) > now
+    return (this.suspicions.get(member)?.until ?? -Infinity) > now
   }
 
-  /** How long the member has been silent, in ms. */
-  silentMs (member: string, now: number): number {
-    const known = this.seen.get(member)
-    return known === undefined ? 0 : now - known.since
+  /** Time since the member was first suspected, in ms; 0 if it never was. */
+  getSilentMs (member: string, now: number): number {
+    const suspicion = this.suspicions.get(member)
+    return suspicion === undefined ? 0 : now - suspicion.since
   }
 }
 
-/** Shorter than the time in which a client that was refused comes back. */
-const suspectMs = 350
-/** A member that was heard of in between begins a new silence. */
-const forgetMs = 1_000
+/** How long a peer stays suspected, in ms: less than the time until a refused client retries. */
+const suspicionMs = 350
+/** A member that is suspected again this long after its last suspicion ended, in ms, counts as newly suspected: it answered in between. */
+const suspicionMemoryMs = 1_000
 
-/** How long a turn waits for a shard that changes hands, in ms: a planned handover takes less; after a crash the lease takes longer. */
-const patienceMs = 250
-/** Pause between two looks, in ms. */
-const lookMs = 20
+/** How long a turn waits for the handover of a shard, in ms. A planned handover is faster; after a crash the lease takes longer to expire. */
+const maxHandoverWaitMs = 250
+/** Poll interval for the new owner of a shard, in ms. */
+const pollIntervalMs = 20
 
-/** Serves a turn of a client wherever its program is owned, or refuses it with the time at which it can be served. */
+/** Serves a client's turn at the owner of its program, or refuses it with a retry-after for when the shard should be served again. */
 export async function routeTurn (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields): Promise<void> {
   const { timers, shards } = ports
   if (ports.failureDetector.isIsolated) {
@@ -60,106 +60,109 @@
   }
   const partition = shards.getPartition(turn.program)
   const startedAt = timers.monotonic()
-  let last: unknown
+  let lastStep: unknown
   do {
-    const place = shards.locate(partition)
-    const step = await tryPlace(ports, req, turn, place)
+    const location = shards.locate(partition)
+    const step = await tryLocation(ports, req, turn, location)
     if (step.type === 'done') return
     if (step.type === 'later') {
-      last = { place: describe(place), step }
+      lastStep = { place: describeLocation(location), step }
       break
     }
-    last = { place: describe(place), step }
+    lastStep = { place: describeLocation(location), step }
     void shards.refreshOwners()
-    await timerService.sleep(timers, lookMs)
-  } while (!req.reply.over && timers.monotonic() - startedAt < patienceMs)
-  const retryAfterMs = comeBackMs(ports, partition)
-  ports.decisions.note({ event: 'turnRefused', reason: 'nobody serves the shard', request: req.attempt.id, program: turn.program, detail: { partition, waitedMs: Math.round(timers.monotonic() - startedAt), ownersAgeMs: Math.round(shards.ownersAgeMs), last } })
+    await timerService.sleep(timers, pollIntervalMs)
+  } while (!req.reply.over && timers.monotonic() - startedAt < maxHandoverWaitMs)
+  const retryAfterMs = estimateRetryMs(ports, partition)
+  ports.decisions.note({ event: 'turnRefused', reason: 'nobody serves the shard', request: req.attempt.id, program: turn.program, detail: { partition, waitedMs: Math.round(timers.monotonic() - startedAt), ownersAgeMs: Math.round(shards.ownersAgeMs), last: lastStep } })
   req.reply.refuse({ type: 'shardMoving', retryAfterMs })
 }
 
 /**
- * When the shard is likely to be served: a handover is nearly done, a silent owner is found out and given up within
- * half a second, and one that was not has to lose its lease first.
+ * Estimates when the shard will be served again, in ms from now. A handover is almost complete, and an unresponsive
+ * owner is normally detected and evicted within half a second; an owner that wasn't evicted by then keeps the shard
+ * until its lease expires.
  */
-function comeBackMs (ports: RouteTurnPorts, partition: shardLog.Partition): number {
-  const place = ports.shards.locate(partition)
-  if (place.type !== 'member') return serveTurn.shardRetryMs
-  const silentMs = ports.suspects.silentMs(place.member, ports.timers.monotonic())
-  const movedAfterMs = silentMs < foundOutMs ? foundOutMs + takeOverMs : ports.shards.leaseMs + takeOverMs
-  return Math.max(serveTurn.shardRetryMs, movedAfterMs - silentMs)
+function estimateRetryMs (ports: RouteTurnPorts, partition: shardLog.Partition): number {
+  const location = ports.shards.locate(partition)
+  if (location.type !== 'member') return serveTurn.shardRetryMs
+  const silentMs = ports.suspects.getSilentMs(location.member, ports.timers.monotonic())
+  const takeoverAfterMs = silentMs < failureDetectionMs ? failureDetectionMs + takeoverMs : ports.shards.leaseMs + takeoverMs
+  return Math.max(serveTurn.shardRetryMs, takeoverAfterMs - silentMs)
 }
 
-/** From the first request that a silent owner did not take until it is given up, in ms: one question to all peers. */
-const foundOutMs = 250
-/** From a lapsed lease to a shard that serves, in ms: half a heartbeat, the handover, and reading the shard. */
-const takeOverMs = 300
+/** Time from the first request that an owner didn't accept until it is evicted, in ms: one ping of all peers. */
+const failureDetectionMs = 250
+/** Time from an expired lease until the shard is served again, in ms: half a heartbeat interval, the handover, and loading the shard. */
+const takeoverMs = 300
 
-type Step =
+/** Result of one attempt to reach the owner. */
+type RoutingStep =
   | { readonly type: 'done' }
-  /** Nothing ran; worth another look. */
+  /** Nothing ran; locate the owner again and retry. */
   | { readonly type: 'again', readonly reason: string }
-  /** Nothing ran, and another look soon would find the same. */
+  /** Nothing ran, and a retry soon would fail the same way. */
   | { readonly type: 'later', readonly reason: string }
 
-async function tryPlace (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, place: ownShards.ShardLocation): Promise<Step> {
-  switch (place.type) {
+async function tryLocation (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, location: ownShards.ShardLocation): Promise<RoutingStep> {
+  switch (location.type) {
     case 'unknown': return { type: 'again', reason: 'no owner known' }
     case 'here':
-      if (place.shard.state !== 'serving') return { type: 'again', reason: place.shard.state }
-      if (!isKept(req)) return orAgain(await tryUnkept(ports, req, turn, { type: 'here', shard: place.shard }))
-      await serveTurn.serveTurn(ports, req, turn, place.shard)
+      if (location.shard.state !== 'serving') return { type: 'again', reason: location.shard.state }
+      if (!isRetained(req)) return toRoutingStep(await tryUnretained(ports, req, turn, { type: 'here', shard: location.shard }))
+      await serveTurn.serveTurn(ports, req, turn, location.shard)
       return { type: 'done' }
-    case 'member': return tryMember(ports, req, turn, place.member)
+    case 'member': return tryPeer(ports, req, turn, location.member)
   }
 }
 
-async function tryMember (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<Step> {
+async function tryPeer (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<RoutingStep> {
   const { shards, suspects, timers } = ports
   if (suspects.has(member, timers.monotonic())) {
     return { type: shards.hasRecentlyEvicted(member) ? 'again' : 'later', reason: 'the owner did not answer just now' }
   }
   const address = memberName.parsePeerAddress(member)
-  const step = isKept(req) ? await passOn(ports, req, turn, member) : await tryUnkept(ports, req, turn, { type: 'peer', address })
-  if (step.type !== 'silent') return step
+  const step = isRetained(req) ? await forwardToOwner(ports, req, turn, member) : await tryUnretained(ports, req, turn, { type: 'peer', address })
+  if (step.type !== 'unresponsive') return step
   suspects.add(member, timers.monotonic())
   if (step.ended) void shards.evict(member, 'ended')
   else ports.failureDetector.suspect(address)
-  return orAgain(step)
+  return toRoutingStep(step)
 }
 
-function orAgain (step: Step | Silent): Step {
-  return step.type === 'silent' ? { type: 'again', reason: 'unreachable' } : step
+function toRoutingStep (step: RoutingStep | UnresponsiveOwner): RoutingStep {
+  return step.type === 'unresponsive' ? { type: 'again', reason: 'unreachable' } : step
 }
 
-/** The owner did not take the turn. Ended: its process does not run any more. */
-interface Silent {
-  readonly type: 'silent'
+/** The owner didn't accept the turn. */
+interface UnresponsiveOwner {
+  readonly type: 'unresponsive'
+  /** The owner's process has exited. */
   readonly ended: boolean
 }
 
-/** A kept turn is served by the owner of its program. */
-async function passOn (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<Step | Silent> {
+/** Forwards a retained turn, which only the owner of its program may serve. */
+async function forwardToOwner (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<RoutingStep | UnresponsiveOwner> {
   ports.decisions.note({ event: 'passedOn', request: req.attempt.id, program: turn.program, owner: member, ownersAgeMs: Math.round(ports.shards.ownersAgeMs) })
   const outcome = await forwardTurn.forwardTurn(ports, req, memberName.parsePeerAddress(member))
   switch (outcome.type) {
     case 'answered': return { type: 'done' }
     case 'notOwner': return { type: 'again', reason: outcome.type }
-    case 'unreachable': return { type: 'silent', ended: outcome.ended }
+    case 'unreachable': return { type: 'unresponsive', ended: outcome.ended }
   }
 }
 
-/** Any other turn is run here, with tokens that the owner of its program has reserved. */
-async function tryUnkept (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, owner: serveUnkept.Owner): Promise<Step | Silent> {
-  const call = serveUnkept.reserveCall(req, turn)
-  const outcome = await serveUnkept.reserve(ports, owner, call)
-  if (outcome.type === 'none') return { type: 'silent', ended: outcome.ended }
+/** Runs a turn that is not retained in this process, with tokens that the owner of its program has reserved. */
+async function tryUnretained (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, owner: serveUnretained.ReservationOwner): Promise<RoutingStep | UnresponsiveOwner> {
+  const call = serveUnretained.createReserveCall(req, turn)
+  const outcome = await serveUnretained.reserveTokens(ports, owner, call)
+  if (outcome.type === 'none') return { type: 'unresponsive', ended: outcome.ended }
   const { answer } = outcome
   switch (answer.type) {
     case 'notOwner': return { type: 'again', reason: answer.type }
     case 'reserved':
-      if (req.reply.over) serveUnkept.release(ports, owner, { ...call, type: 'release', tokens: 0 })
-      else serveUnkept.run(ports, req, turn, owner, call, answer.holder)
+      if (req.reply.over) serveUnretained.releaseReservation(ports, owner, { ...call, type: 'release', tokens: 0 })
+      else serveUnretained.runReservedTurn(ports, req, turn, owner, call, answer.holder)
       return { type: 'done' }
     case 'overBudget':
       req.reply.refuse({ type: 'overBudget' })
@@ -170,20 +173,20 @@
   }
 }
 
-function isKept (req: inbound.InboundRequest): boolean {
+function isRetained (req: inbound.InboundRequest): boolean {
   return req.route.retain?.keepsTurns === true
 }
 
-/** The shard of a program, if this process serves it now. */
+/** Returns the shard of a program if this process serves it now. */
 export function findServingShard (ports: Pick<RouteTurnPorts, 'shards'>, program: types.ProgramId): ownShards.OwnedShard | undefined {
-  const place = ports.shards.locate(ports.shards.getPartition(program))
-  return place.type === 'here' && place.shard.state === 'serving' ? place.shard : undefined
+  const location = ports.shards.locate(ports.shards.getPartition(program))
+  return location.type === 'here' && location.shard.state === 'serving' ? location.shard : undefined
 }
 
-function describe (place: ownShards.ShardLocation): { readonly type: string, readonly state?: string, readonly member?: string, readonly partition?: shardLog.Partition } {
-  switch (place.type) {
+function describeLocation (location: ownShards.ShardLocation): { readonly type: string, readonly state?: string, readonly member?: string, readonly partition?: shardLog.Partition } {
+  switch (location.type) {
     case 'unknown': return { type: 'unknown' }
-    case 'member': return { type: 'member', member: place.member }
-    case 'here': return { type: 'here', state: place.shard.state }
+    case 'member': return { type: 'member', member: location.member }
+    case 'here': return { type: 'here', state: location.shard.state }
   }
 }
--- a/packages/programs/front/src/serve-turn.test.ts
+++ b/packages/programs/front/src/serve-turn.test.ts
@@ -19,7 +19,7 @@
 const budgetTokens = 100
 const event = 'id: 1\ndata: x\n\n'
 
-/** An owner whose store has left an append unanswered for 0.7 s, and an engine that makes one event at once and no end. */
+/** An owner whose store has left an append unanswered for 0.7 s, and an engine that sends one event at once and never ends its answer. */
 function fixture () {
   const timers = timerService.createManualTimers()
   const decisions = decisionLog.createSilentDecisionLog()
@@ -27,10 +27,10 @@
   const shard = { ledger, state: 'serving', epoch: 1, unansweredMs: 700, commit: () => new Promise(() => {}) } as unknown as ownShards.OwnedShard
   const upstreams = new trackUpstreams.UpstreamList()
   upstreams.put({ id: 'engine-1' as types.UpstreamId, service, address: 'engine-1', name: 'engine-1', slots: 8, leaving: false })
-  let answering = ''
-  const sent: string[] = []
+  let currentRequest = ''
+  const sentRequests: string[] = []
   const send: sendHttp.Sender['send'] = (_request, sink) => {
-    sent.push(answering)
+    sentRequests.push(currentRequest)
     sink.head({ status: 200, headers: {}, rawHeaders: [] })
     sink.data(Buffer.from(event))
     return { cancel () {}, pause () {}, resume () {} }
@@ -40,56 +40,56 @@
     decisions,
     upstreams,
     sender: { send, close () {} },
-    dialect: { upstreamHeaders: () => [], answerHeaders: () => [], answerFacts: () => ({ requestId: answering, signed: true, notRun: false, wrongIncarnation: false }) },
-    health: new upstreamHealth.UpstreamHealth({ upstreams, timers, decisions, processes: () => 1, share: () => {} }),
+    dialect: { upstreamHeaders: () => [], answerHeaders: () => [], answerFacts: () => ({ requestId: currentRequest, signed: true, notRun: false, wrongIncarnation: false }) },
+    health: new upstreamHealth.UpstreamHealth({ upstreams, timers, decisions, countProcesses: () => 1, publishMark: () => {} }),
     retryBudget: new retryBudget.RetryBudget(),
     peerLoads: new trackUpstreams.PeerLoads(),
     listAgeMs: () => 0,
     promptLocations: new promptLocations.PromptLocations(),
     deferredTurns: new storeOutage.DeferredTurns(),
-    admission: { admits: () => true, notePrompt () {} }
+    admission: { tryAdmit: () => true, observePromptSize () {} }
   } as unknown as serveTurn.TurnPorts
-  const ask = (id: string) => {
-    const told: string[] = []
-    let leave = (): void => {}
+  const sendTurn = (id: string) => {
+    const events: string[] = []
+    let disconnect = (): void => {}
     const reply = {
       headSent: false,
       over: false,
-      refuse: ({ type }: inbound.Refusal) => { told.push(type) },
-      head: () => { told.push('head') },
-      data: () => { told.push('event'); return true },
-      onGone: (run: () => void) => { leave = run }
+      refuse: ({ type }: inbound.Refusal) => { events.push(type) },
+      head: () => { events.push('head') },
+      data: () => { events.push('event'); return true },
+      onGone: (run: () => void) => { disconnect = run }
     }
     const route = { repeatability: 'atMostOnce', objectiveMs: 200, maxAttempts: 2, stream: { resumable: false }, retain: { keepsTurns: true, retainMs: 60_000 } }
     const turn = { program, previous: undefined, promptTokens: 100, maxTokens: 20, budgetTokens, finishMs: undefined, promptParts: [] } as unknown as dialects.TurnFields
     const req = { attempt: { id }, method: 'POST', path: '/', rawHeaders: [], body: Buffer.from('in'), route, service, caller: { type: 'anyone' }, tokensPerEvent: 5, deadlineAt: timers.monotonic() + 3_000, reply }
-    answering = id
+    currentRequest = id
     void serveTurn.serveTurn(ports, req as unknown as inbound.InboundRequest, turn, shard)
-    return { told, leave: () => { leave() } }
+    return { events, disconnect: () => { disconnect() } }
   }
-  return { timers, ledger, sent, ask }
+  return { timers, ledger, sentRequests, sendTurn }
 }
 
-tap.test('in an outage of the store the first turn of a program is told to come back, and runs when it does', (t) => {
-  const { timers, sent, ask } = fixture()
-  t.same(ask('t1').told, ['storeAway'])
+tap.test('during a store outage the first turn of a program is deferred, and runs when it is retried', (t) => {
+  const { timers, sentRequests, sendTurn } = fixture()
+  t.same(sendTurn('t1').events, ['storeAway'])
   timers.advance(1_000)
-  const back = ask('t2')
-  t.same(sent, ['t2'])
-  t.same(back.told, [], 'nothing of it passes before its tokens are counted')
+  const retried = sendTurn('t2')
+  t.same(sentRequests, ['t2'])
+  t.same(retried.events, [], 'no output is relayed before the reservation is stored')
   t.end()
 })
 
-tap.test('a turn that was held until its client left costs the program nothing of its budget', (t) => {
-  const { timers, ledger, ask } = fixture()
-  ask('t1')
+tap.test('a turn whose output was held back until its client disconnected uses none of the budget', (t) => {
+  const { timers, ledger, sendTurn } = fixture()
+  sendTurn('t1')
   for (let at = 2; at < 12; at += 2) {
     timers.advance(1_000)
-    ask(`t${at}`).leave()
+    sendTurn(`t${at}`).disconnect()
     timers.advance(300)
-    ask(`t${at + 1}`)
+    sendTurn(`t${at + 1}`)
   }
-  const whole = { turn: 'last' as turnLedger.TurnId, program, account: undefined, previous: undefined, maxTokens: budgetTokens, budgetTokens, keeps: true, retainMs: 60_000 }
-  t.equal(ledger.admitTurn(whole, timers.now() as types.EpochMs).type, 'admitted')
+  const fullBudget = { turn: 'last' as turnLedger.TurnId, program, account: undefined, previous: undefined, maxTokens: budgetTokens, budgetTokens, keeps: true, retainMs: 60_000 }
+  t.equal(ledger.admitTurn(fullBudget, timers.now() as types.EpochMs).type, 'admitted')
   t.end()
 })
--- a/packages/programs/front/src/serve-turn.ts
+++ b/packages/programs/front/src/serve-turn.ts
@@ -1,4 +1,4 @@
-/** Serves a turn that is kept at the owner of its program: checks chain and budget, puts the prompt together, keeps what was said. */
+/** Serves a retained turn at the owner of its program: checks the turn chain and the budget, assembles the prompt, and stores input and output. */
 import * as admitProgram from '@eelgrasswind/admit-program'
 import * as identifyClient from '@eelgrasswind/identify-client'
 import type * as ownShards from '@eelgrasswind/own-shards'
@@ -16,21 +16,21 @@
 import * as settleTurn from './settle-turn.js'
 import * as storeOutage from './store-outage.js'
 
-/** What it takes to serve turns as the owner of their programs. */
+/** Dependencies for serving turns as the owner of their programs. */
 export interface TurnPorts extends dispatch.DispatchPorts {
   readonly shards: ownShards.ShardOwner
   readonly promptLocations: promptLocations.PromptLocations
   readonly deferredTurns: storeOutage.DeferredTurns
-  readonly admission: Pick<programAdmission.ProgramAdmission, 'admits' | 'notePrompt'>
+  readonly admission: Pick<programAdmission.ProgramAdmission, 'tryAdmit' | 'observePromptSize'>
 }
 
-/** Time to come back where the shard is changing hands, in ms: a lease lapses or a handover ends within about this. */
+/** Retry-after during a change of the shard's owner, in ms: about the time in which a lease expires or a handover completes. */
 export const shardRetryMs = 400
 
-/** The longest that a refusal waits for the store and the other owners to confirm it, in ms. */
-const confirmMs = 500
+/** Timeout for the store and the other owners to confirm a refusal, in ms. */
+const confirmTimeoutMs = 500
 
-/** Serves one turn on a shard that this process owns and that serves. */
+/** Serves one turn on a shard that this process owns and that is in state `serving`. */
 export async function serveTurn (ports: TurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, shard: ownShards.OwnedShard): Promise<void> {
   const request: turnLedger.TurnRequest = {
     turn: req.attempt.id,
@@ -42,16 +42,16 @@
     keeps: true,
     retainMs: req.route.retain?.retainMs ?? 0
   }
-  if (storeOutage.isAway(shard) && !ports.deferredTurns.mayRun(request.program, request.previous, ports.timers.monotonic())) {
+  if (storeOutage.isStoreUnresponsive(shard) && !ports.deferredTurns.shouldRunNow(request.program, request.previous, ports.timers.monotonic())) {
     ports.decisions.note({ event: 'turnRefused', reason: 'the store does not answer', request: req.attempt.id, program: turn.program, epoch: shard.epoch, detail: { unansweredMs: Math.round(shard.unansweredMs) } })
-    req.reply.refuse({ type: 'storeAway', retryAfterMs: storeOutage.retryMs })
+    req.reply.refuse({ type: 'storeAway', retryAfterMs: storeOutage.outageRetryMs })
     return
   }
-  if (shard.ledger.isNewProgram(request.program) && !ports.admission.admits(request, req.service)) {
+  if (shard.ledger.isNewProgram(request.program) && !ports.admission.tryAdmit(request, req.service)) {
     req.reply.refuse({ type: 'upstreamsFull', retryAfterMs: admitProgram.loadRetryMs })
     return
   }
-  ports.admission.notePrompt(req.service, turn.promptTokens)
+  ports.admission.observePromptSize(req.service, turn.promptTokens)
   const now = ports.timers.now() as types.EpochMs
   const admission = shard.ledger.admitTurn(request, now)
   switch (admission.type) {
@@ -62,24 +62,24 @@
       await refuseOverBudget(ports, req, request, shard, admission)
       return
     case 'unknownPrevious':
-      await continueElsewhere(ports, req, turn, request, shard)
+      await continueFromOtherShard(ports, req, turn, request, shard)
   }
 }
 
-async function refuseOverBudget (ports: TurnPorts, req: inbound.InboundRequest, request: turnLedger.TurnRequest, shard: ownShards.OwnedShard, admission: confirmRefusal.OverBudget): Promise<void> {
-  if (await confirmRefusal.confirmOverBudget(ports, shard, request, admission, confirmMs)) req.reply.refuse({ type: 'overBudget' })
+async function refuseOverBudget (ports: TurnPorts, req: inbound.InboundRequest, request: turnLedger.TurnRequest, shard: ownShards.OwnedShard, admission: confirmRefusal.OverBudgetAdmission): Promise<void> {
+  if (await confirmRefusal.confirmOverBudget(ports, shard, request, admission, confirmTimeoutMs)) req.reply.refuse({ type: 'overBudget' })
   else req.reply.refuse({ type: 'shardMoving', retryAfterMs: shardRetryMs })
 }
 
-/** The turn before is not in this shard: it may be another program's, or not exist at all. */
-async function continueElsewhere (ports: TurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, request: turnLedger.TurnRequest, shard: ownShards.OwnedShard): Promise<void> {
+/** Handles a previous turn that this shard doesn't have: imports its chain from another program's shard, or refuses the turn. */
+async function continueFromOtherShard (ports: TurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, request: turnLedger.TurnRequest, shard: ownShards.OwnedShard): Promise<void> {
   const previous = request.previous
-  const found = previous === undefined ? undefined : await timerService.within(ports.timers, findChain.findEverywhere(ports, { turn: previous, account: request.account }), confirmMs)
+  const found = previous === undefined ? undefined : await timerService.within(ports.timers, findChain.findChainAtOwners(ports, { turn: previous, account: request.account }), confirmTimeoutMs)
   if (found?.type === 'found' && shard.state === 'serving') {
-    const copied = shard.ledger.importChain(found.chain)
+    const importedWrites = shard.ledger.importChain(found.chain)
     const admission = shard.ledger.admitTurn(request, ports.timers.now() as types.EpochMs)
     if (admission.type === 'admitted') {
-      new TurnRun(ports, req, turn, request, shard, admission).start(copied)
+      new TurnRun(ports, req, turn, request, shard, admission).start(importedWrites)
       return
     }
   }
@@ -88,7 +88,7 @@
   else req.reply.refuse({ type: 'shardMoving', retryAfterMs: shardRetryMs })
 }
 
-/** One turn under way. */
+/** One turn in progress. */
 class TurnRun {
   private readonly answer: answerStream.AnswerStream
 
@@ -101,40 +101,40 @@
     private readonly admission: Extract<turnLedger.Admission, { type: 'admitted' }>
   ) {
     const body = admission.chain.length === 0 ? req.body : Buffer.concat([...admission.chain, req.body])
-    const affinity = ports.promptLocations.find(turn)
+    const affinity = ports.promptLocations.findAffinity(turn)
     this.answer = new answerStream.AnswerStream(ports, req, { body, affinity }, admission.isCovered, {
-      onHead: (upstream) => { ports.promptLocations.note(req.attempt.id, turn, upstream) },
-      onComplete: () => { void this.onWhole() },
-      onErrorAnswer: () => { this.settle({ type: 'broken' }) },
-      // Of what was held until its tokens were counted, or never made, nothing was handed out.
-      onFailed: () => { this.settle({ type: req.reply.headSent ? 'broken' : 'notRun' }) }
+      onHead: (upstream) => { ports.promptLocations.recordLocation(req.attempt.id, turn, upstream) },
+      onComplete: () => { void this.onComplete() },
+      onErrorAnswer: () => { this.settleInMemory({ type: 'broken' }) },
+      // Before the head is sent, the client has received no output: none arrived, or it was held back until the reservation is stored.
+      onFailed: () => { this.settleInMemory({ type: req.reply.headSent ? 'broken' : 'notRun' }) }
     })
     ports.decisions.note({ event: 'turnAdmitted', request: req.attempt.id, program: turn.program, previous: turn.previous, epoch: shard.epoch, promptBytes: body.length, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
   }
 
-  /** Copied: records of another shard's chain that the turn continues from. */
-  start (copied: readonly turnLedger.LedgerWrite[]): void {
-    const writes = [...copied, ...this.admission.writes]
-    if (writes.length > 0) void this.shard.commit(writes).then((commit) => { this.onReserved(commit) })
+  /** Starts the turn; `importedWrites` are the records of a chain from another shard that the turn continues. */
+  start (importedWrites: readonly turnLedger.LedgerWrite[]): void {
+    const writes = [...importedWrites, ...this.admission.writes]
+    if (writes.length > 0) void this.shard.commit(writes).then((commit) => { this.onReservationCommitted(commit) })
     this.answer.start()
   }
 
-  /** Tokens that the store counted before may be handed out also where another process has taken the shard over since. */
-  private onReserved (commit: ownShards.CommitOutcome): void {
+  /** Output covered by a reservation that was already stored may be relayed even if another process has since taken over the shard. */
+  private onReservationCommitted (commit: ownShards.CommitOutcome): void {
     if (commit.type === 'committed') this.answer.startRelaying()
-    else if (!this.admission.isCovered) this.answer.abort(this.answer.mayHaveRun ? { type: 'answerLost', detail: 'the shard changed hands' } : { type: 'shardMoving', retryAfterMs: shardRetryMs })
+    else if (!this.admission.isCovered) this.answer.abort(this.answer.mayHaveRun ? { type: 'answerLost', detail: 'another process took over the shard' } : { type: 'shardMoving', retryAfterMs: shardRetryMs })
   }
 
-  /** The engine's answer is complete and passed on but for its end. */
-  private async onWhole (): Promise<void> {
+  /** The engine's answer is complete and relayed; the response ends once the turn is stored. */
+  private async onComplete (): Promise<void> {
     const end: Extract<turnLedger.TurnEnd, { type: 'whole' }> = { type: 'whole', input: this.req.body, output: this.answer.concatOutput(), tokens: this.answer.countTokens(this.request.maxTokens) }
-    const kept = await settleTurn.settleWhole(this.ports, this.shard, this.request, end, this.req.deadlineAt)
-    if (kept) this.req.reply.end()
+    const isStored = await settleTurn.settleCompletedTurn(this.ports, this.shard, this.request, end, this.req.deadlineAt)
+    if (isStored) this.req.reply.end()
     else this.req.reply.abort()
   }
 
-  private settle (end: turnLedger.TurnEnd): void {
-    // Not stored: what is reserved durably covers it, and the next write of the program carries it.
+  private settleInMemory (end: turnLedger.TurnEnd): void {
+    // Not written to the store: the stored reservation covers it, and the program's next write includes it.
     this.shard.ledger.settleTurn(this.request, end, this.ports.timers.now() as types.EpochMs)
   }
 }
--- a/packages/programs/front/src/serve-unkept.test.ts
+++ b/packages/programs/front/src/serve-unretained.test.ts
@@ -5,7 +5,7 @@
 import type * as turnLedger from '@eelgrasswind/turn-ledger'
 import type * as types from '@eelgrasswind/types'
 import * as peerCalls from './peer-calls.js'
-import * as serveUnkept from './serve-unkept.js'
+import * as serveUnretained from './serve-unretained.js'
 
 const call: peerCalls.ReserveCall = {
   type: 'reserve',
@@ -15,29 +15,29 @@
   promptParts: []
 }
 
-/** What a peer hears that answers as given: not at all, or by refusing the connection. */
-async function heardBy (answer: 'nothing' | 'refused') {
+/** Makes a reservation at a peer that doesn't answer or refuses the connection, and collects the calls that it gets. */
+async function collectPeerCalls (answer: 'nothing' | 'refused') {
   const timers = timerService.createManualTimers()
-  const heard: peerCalls.PeerCall[] = []
+  const calls: peerCalls.PeerCall[] = []
   const send: sendHttp.Sender['send'] = (request, sink) => {
-    heard.push(peerCalls.decodeCall(Buffer.from(request.body)))
+    calls.push(peerCalls.decodeCall(Buffer.from(request.body)))
     if (answer === 'refused') timers.after(1, () => { sink.fail({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' }) })
     return { cancel () {}, pause () {}, resume () {} }
   }
-  const ports = { sender: { send, close () {} }, timers, decisions: decisionLog.createSilentDecisionLog() } as unknown as serveUnkept.UnkeptPorts
-  const outcome = serveUnkept.reserve(ports, { type: 'peer', address: 'peer:1' }, call)
+  const ports = { sender: { send, close () {} }, timers, decisions: decisionLog.createSilentDecisionLog() } as unknown as serveUnretained.UnretainedPorts
+  const outcome = serveUnretained.reserveTokens(ports, { type: 'peer', address: 'peer:1' }, call)
   await timers.advanceAsync(1_000)
-  return { outcome: await outcome, heard }
+  return { outcome: await outcome, calls }
 }
 
-tap.test('tokens whose reservation was not answered are given back', async (t) => {
-  const { outcome, heard } = await heardBy('nothing')
+tap.test('an unanswered reservation is released', async (t) => {
+  const { outcome, calls } = await collectPeerCalls('nothing')
   t.same(outcome, { type: 'none', ended: false })
-  t.match(heard, [{ type: 'reserve' }, { type: 'release', tokens: 0, request: { turn: 't1' } }])
+  t.match(calls, [{ type: 'reserve' }, { type: 'release', tokens: 0, request: { turn: 't1' } }])
 })
 
-tap.test('a peer that has ended is told nothing more', async (t) => {
-  const { outcome, heard } = await heardBy('refused')
+tap.test('a peer whose process has exited gets no release call', async (t) => {
+  const { outcome, calls } = await collectPeerCalls('refused')
   t.same(outcome, { type: 'none', ended: true })
-  t.match(heard.map(({ type }) => type), ['reserve'])
+  t.match(calls.map(({ type }) => type), ['reserve'])
 })
--- a/packages/programs/front/src/upstream-health.ts
+++ b/packages/programs/front/src/upstream-health.ts
@@ -1,73 +1,73 @@
-/** What this process believes of its upstreams, from its own requests and from what other processes report. */
+/** Health of the upstreams, from this process's own requests and from the reports of other front processes. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as routeRequest from '@eelgrasswind/route-request'
 import type * as timerService from '@eelgrasswind/timer-service'
 import * as trackUpstreams from '@eelgrasswind/track-upstreams'
 import type * as types from '@eelgrasswind/types'
 
-/** What it takes to judge upstreams. */
+/** Dependencies for tracking the health of upstreams. */
 export interface UpstreamHealthPorts {
   readonly upstreams: trackUpstreams.UpstreamList
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
-  /** How many processes send to the upstreams, this one included. */
-  readonly processes: () => number
-  /** Tells the other processes. */
-  readonly share: (upstream: types.UpstreamId, mark: trackUpstreams.Mark) => void
+  /** Number of front processes that send to the upstreams, including this one. */
+  readonly countProcesses: () => number
+  /** Reports a mark to the other front processes. */
+  readonly publishMark: (upstream: types.UpstreamId, mark: trackUpstreams.Mark) => void
 }
 
-/** Keeps the beliefs that the choice of an upstream rests on. */
+/** Updates the health state that upstream selection uses, and ejects outliers. */
 export class UpstreamHealth {
-  private readonly outliers: trackUpstreams.OutlierDetector
-  private readonly usual = new trackUpstreams.TypicalLatencies()
+  private readonly outlierDetector: trackUpstreams.OutlierDetector
+  private readonly typicalLatencies = new trackUpstreams.TypicalLatencies()
 
   constructor (private readonly ports: UpstreamHealthPorts) {
-    this.outliers = new trackUpstreams.OutlierDetector(ports.upstreams)
+    this.outlierDetector = new trackUpstreams.OutlierDetector(ports.upstreams)
   }
 
   noteSent (upstream: trackUpstreams.Upstream): void {
-    this.outliers.countRequest(upstream.listed.service, this.ports.timers.monotonic())
+    this.outlierDetector.countRequest(upstream.listed.service, this.ports.timers.monotonic())
   }
 
-  /** The first bytes of an answer came, so many ms after the request was sent. */
-  noteFirst (upstream: trackUpstreams.Upstream, route: routeRequest.Route, tookMs: number): void {
-    if (this.usual.observe(route.name, tookMs, route.objectiveMs)) this.mark(upstream.listed.id, 'slow')
+  /** The first bytes of an answer arrived, `latencyMs` after the request was sent. */
+  noteFirstBytes (upstream: trackUpstreams.Upstream, route: routeRequest.Route, latencyMs: number): void {
+    if (this.typicalLatencies.observe(route.name, latencyMs, route.objectiveMs)) this.recordMark(upstream.listed.id, 'slow')
   }
 
-  /** No usable answer came. */
+  /** The request got no usable answer; new requests avoid the upstream for a while. */
   noteFailure (upstream: trackUpstreams.Upstream): void {
     trackUpstreams.noteFailure(upstream, this.ports.timers.monotonic())
-    this.mark(upstream.listed.id, 'failed')
+    this.recordMark(upstream.listed.id, 'failed')
   }
 
-  /** Nothing at all came for so long that the upstream's host is likely gone. */
-  noteSilent (upstream: trackUpstreams.Upstream): void {
+  /** The upstream sent nothing for so long that its host has probably failed. */
+  noteUnresponsive (upstream: trackUpstreams.Upstream): void {
     trackUpstreams.noteUnresponsive(upstream, this.ports.timers.monotonic())
-    this.mark(upstream.listed.id, 'failed')
+    this.recordMark(upstream.listed.id, 'failed')
   }
 
-  /** The upstream answers, but this request got an error, an answer of no use, or none in time. */
-  noteBadAnswer (upstream: trackUpstreams.Upstream): void {
-    this.mark(upstream.listed.id, 'failed')
+  /** The upstream is responsive, but this request got an error, an unusable answer, or none in time. */
+  noteFailedRequest (upstream: trackUpstreams.Upstream): void {
+    this.recordMark(upstream.listed.id, 'failed')
   }
 
-  /** What another process reports. */
-  takeMarks (marks: readonly trackUpstreams.MarkReport[]): void {
-    for (const mark of marks) this.judge(mark, 'peer')
+  /** Applies marks that another front process reported. */
+  applyPeerMarks (marks: readonly trackUpstreams.MarkReport[]): void {
+    for (const mark of marks) this.applyMark(mark, 'peer')
   }
 
-  private mark (upstream: types.UpstreamId, mark: trackUpstreams.Mark): void {
-    this.ports.share(upstream, mark)
-    this.judge({ upstream, mark, count: 1 }, 'own')
+  private recordMark (upstream: types.UpstreamId, mark: trackUpstreams.Mark): void {
+    this.ports.publishMark(upstream, mark)
+    this.applyMark({ upstream, mark, count: 1 }, 'own')
   }
 
-  private judge (report: trackUpstreams.MarkReport, source: 'own' | 'peer'): void {
-    const ejection = this.outliers.applyReport(report, this.ports.processes(), this.ports.timers.monotonic())
+  private applyMark (report: trackUpstreams.MarkReport, source: 'own' | 'peer'): void {
+    const ejection = this.outlierDetector.applyReport(report, this.ports.countProcesses(), this.ports.timers.monotonic())
     if (ejection === undefined) return
-    this.ports.decisions.note({ event: 'upstreamEjected', ...ejection, marks: round(ejection.marks), requests: round(ejection.requests), source })
+    this.ports.decisions.note({ event: 'upstreamEjected', ...ejection, marks: roundToTenth(ejection.marks), requests: roundToTenth(ejection.requests), source })
   }
 }
 
-function round (value: number): number {
+function roundToTenth (value: number): number {
   return Math.round(value * 10) / 10
 }
--- a/packages/programs/front/src/upstream-view.ts
+++ b/packages/programs/front/src/upstream-view.ts
@@ -1,4 +1,4 @@
-/** All that this process knows of the upstreams: the list, what runs there, and which of them fail. */
+/** Aggregates what this process knows about the upstreams: the list, their load, and their health. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as followRecords from '@eelgrasswind/follow-records'
 import type * as shardLog from '@eelgrasswind/shard-log'
@@ -7,27 +7,29 @@
 import * as upstreamDirectory from './upstream-directory.js'
 import * as upstreamHealth from './upstream-health.js'
 
-/** What it takes to know the upstreams. */
+/** Dependencies of the upstream view. */
 export interface UpstreamViewPorts extends followRecords.FollowerPorts {
   readonly decisions: decisionLog.DecisionLog
-  /** Where the list stands in the store, and how its entries are written. */
+  /** Partition of the store that holds the upstream list. */
   readonly partition: shardLog.Partition
+  /** Decodes an entry of the list; throws if it is malformed. */
   readonly decode: upstreamDirectory.DirectoryPorts['decode']
-  /** Where this process talks to its peers, IP:PORT, and where those listen. */
+  /** Address on which this process takes peer traffic, IP:PORT. */
   readonly peerAddress: string
+  /** Addresses of the other front processes, IP:PORT. */
   readonly peers: () => readonly string[]
 }
 
-/** Pause between two reads of the list, in ms: a leaving upstream is known well within the 2 s that it goes on serving. */
-const pollMs = 400
+/** Poll interval of the upstream list, in ms: well below the 2 s for which a draining upstream keeps serving. */
+const pollIntervalMs = 400
 
-/** Joins the list of the store, the reports of the peers and this process's own requests. */
+/** Combines the upstream list from the store, load and health reports from peers, and the results of own requests. */
 export class UpstreamView {
   readonly list = new trackUpstreams.UpstreamList()
   readonly peerLoads = new trackUpstreams.PeerLoads()
   readonly health: upstreamHealth.UpstreamHealth
-  private readonly sharer: shareLoad.LoadSharer
-  private readonly follower: followRecords.RecordFollower
+  private readonly loadSharer: shareLoad.LoadSharer
+  private readonly listFollower: followRecords.RecordFollower
   private readonly directory: upstreamDirectory.UpstreamDirectory
 
   constructor (ports: UpstreamViewPorts) {
@@ -36,14 +38,14 @@
       upstreams: this.list,
       timers,
       decisions,
-      processes: () => this.peerLoads.peerCount + 1,
-      share: (upstream, mark) => { this.sharer.recordMark(upstream, mark) }
+      countProcesses: () => this.peerLoads.peerCount + 1,
+      publishMark: (upstream, mark) => { this.loadSharer.recordMark(upstream, mark) }
     })
-    this.sharer = new shareLoad.LoadSharer(ports.peerAddress, {
+    this.loadSharer = new shareLoad.LoadSharer(ports.peerAddress, {
       upstreams: this.list,
       loads: this.peerLoads,
       peers: ports.peers,
-      onMarksReceived: (marks) => { this.health.takeMarks(marks) },
+      onMarksReceived: (marks) => { this.health.applyPeerMarks(marks) },
       timers,
       decisions
     })
@@ -52,33 +54,33 @@
       timers,
       decisions,
       decode: ports.decode,
-      sinceRecoveryMs: () => this.follower.sinceRecoveryMs()
+      sinceRecoveryMs: () => this.listFollower.sinceRecoveryMs()
     })
-    this.follower = new followRecords.RecordFollower({ partition: ports.partition, pollMs, longPollMs: 0 }, ports, {
-      onSnapshot: (found) => { this.directory.replace(found) },
+    this.listFollower = new followRecords.RecordFollower({ partition: ports.partition, pollMs: pollIntervalMs, longPollMs: 0 }, ports, {
+      onSnapshot: (entries) => { this.directory.replace(entries) },
       onPut: (key, value) => { this.directory.put(key, value) },
       onRemove: (key) => { this.directory.remove(key) }
     })
   }
 
-  /** True once the whole list was read. */
+  /** Whether the complete list has been read once. */
   get isLoaded (): boolean {
     return this.directory.isLoaded
   }
 
-  /** Age of the list, in ms. */
+  /** Age of the upstream list, in ms. */
   ageMs (): number {
-    return this.follower.ageMs()
+    return this.listFollower.ageMs()
   }
 
-  /** Resolves when reports of peers are taken in. */
+  /** Resolves once reports from peers are accepted. */
   async start (): Promise<void> {
-    this.follower.start()
-    await this.sharer.start()
+    this.listFollower.start()
+    await this.loadSharer.start()
   }
 
   stop (): void {
-    this.follower.stop()
-    this.sharer.close()
+    this.listFollower.stop()
+    this.loadSharer.close()
   }
 }
