--- a/packages/programs/front/src/account-limits.ts
+++ b/packages/programs/front/src/account-limits.ts
@@ -67,6 +67,7 @@
     return { type: 'metered', answers: call.reports.map((report) => this.registry.applyReport(report, location.shard.epoch, call.version, now)) }
   }
 
+  /** Stops reporting and pruning. */
   close (): void {
     this.pruneTimer.cancel()
     for (const channel of this.channels) channel.close()
--- a/packages/programs/front/src/dispatch.ts
+++ b/packages/programs/front/src/dispatch.ts
@@ -31,7 +31,7 @@
 /** Request body and upstream preference of a dispatch. */
 export interface DispatchOptions {
   readonly body: Uint8Array
-  /** Which parts of the prompt an upstream may have cached; `undefined` if the request has no prompt. */
+  /** Which parts of the prompt an upstream may have cached; `undefined` if no part of the request can be cached. */
   readonly affinity: trackUpstreams.PromptAffinity | undefined
   /** Returns the id of the last received event, for streams that another upstream can resume. */
   readonly resumeAfter?: () => string | undefined
@@ -95,6 +95,7 @@
   private isFinished = false
   /** The head of an answer was passed to the sink. */
   private hasHead = false
+  /** Takes the current attempt off its upstream's count of running requests. */
   private releaseSlot: (() => void) | undefined
   private silenceTimer: timerService.Subscription | undefined
 
@@ -110,6 +111,7 @@
     return this.mayHaveStarted || this.isInFlight
   }
 
+  /** Sends the first attempt. */
   start (): void {
     this.startAttempt()
   }
@@ -122,10 +124,12 @@
     this.exchange?.cancel()
   }
 
+  /** Stops reading the answer, to apply backpressure. */
   pause (): void {
     this.exchange?.pause()
   }
 
+  /** Continues reading the answer after `pause`. */
   resume (): void {
     this.exchange?.resume()
   }
--- a/packages/programs/front/src/meter-channel.ts
+++ b/packages/programs/front/src/meter-channel.ts
@@ -34,6 +34,7 @@
   readonly callOwner: (call: MeterCall) => Promise<MeterCallAnswer | undefined>
   /** Returns the limit of an account; `undefined` if it has none. */
   readonly getLimit: (account: types.AccountId) => meterAccount.MeterLimit | undefined
+  /** Returns the configuration version in force. */
   readonly getVersion: () => number
   /** Number of hosts that admit requests of accounts, including this one. */
   readonly countHosts: () => number
@@ -79,6 +80,7 @@
   private readonly entries = new Map<types.AccountId, AccountEntry>()
   private reportTimer: timerService.Subscription | undefined
   private isCallInFlight = false
+  /** Monotonic ms. */
   private readonly startedAt: number
   /** When the owner became unreachable, monotonic ms; `undefined` while it is reachable. */
   private unreachableSince: number | undefined
@@ -125,6 +127,7 @@
     }
   }
 
+  /** Stops reporting. */
   close (): void {
     this.reportTimer?.cancel()
   }
@@ -135,8 +138,8 @@
   }
 
   private getOrCreateEntry (account: types.AccountId): AccountEntry {
-    const known = this.entries.get(account)
-    if (known !== undefined) return known
+    const existing = this.entries.get(account)
+    if (existing !== undefined) return existing
     const created: AccountEntry = { estimate: undefined, admittedEarly: meterAccount.noRequests, pending: [], fallbackMeter: undefined, lastUsedAt: 0 }
     this.entries.set(account, created)
     return created
@@ -202,7 +205,7 @@
     return [...this.entries.values()].some((entry) => !meterAccount.isZero(countUnreported(entry)))
   }
 
-  /** Moves unreported counts and pending requests from the entries into a batch; `restoreUnreported` undoes that if the call fails. */
+  /** Moves unreported counts and pending requests from the entries into a batch. They are restored if the owner doesn't answer. */
   private collectBatch (): BatchItem[] {
     const now = this.ports.timers.monotonic()
     const batch: BatchItem[] = []
@@ -225,7 +228,7 @@
     return batch
   }
 
-  /** A host that has run for longer than accounts are remembered and has no estimate of an account has admitted no requests for it: the account is at full capacity. */
+  /** A host that has run for longer than accounts are remembered and has no estimate of an account has admitted no requests for it, so it reports the full capacity. */
   private createIdleState (limit: meterAccount.MeterLimit, now: number): meterAccount.ConfirmedState | undefined {
     if (now - this.startedAt < accountIdleMs) return undefined
     return { state: meterAccount.createState(meterAccount.computeCapacity(limit)), term: noTerm }
--- a/packages/programs/front/src/program-admission.ts
+++ b/packages/programs/front/src/program-admission.ts
@@ -39,11 +39,11 @@
 
   /** Returns whether the first turn of a program may run now; logs a refusal. */
   tryAdmit (request: turnLedger.TurnRequest, service: types.ServiceId): boolean {
-    const { upstreams, peerLoads: loads, timers, decisions, random } = this.ports
-    const load = trackUpstreams.computeServiceLoad({ candidates: upstreams.getByService(service), othersRunning: (id) => loads.getRunning(id), now: timers.monotonic() })
+    const { upstreams, peerLoads, timers, decisions, random } = this.ports
+    const load = trackUpstreams.computeServiceLoad({ candidates: upstreams.getByService(service), othersRunning: (id) => peerLoads.getRunning(id), now: timers.monotonic() })
     const holdsAllSlots = this.holdsAllSlots(service)
     if (admitProgram.admitByLoad({ load, holdsAllSlots, random })) return true
-    decisions.note({ event: 'turnRefused', reason: 'the engines have too much to do for a new program', request: request.turn, program: request.program, detail: { load: Math.round(load * 100) / 100, peers: loads.peerCount, holdsAllSlots } })
+    decisions.note({ event: 'turnRefused', reason: 'the engines have too much to do for a new program', request: request.turn, program: request.program, detail: { load: Math.round(load * 100) / 100, peers: peerLoads.peerCount, holdsAllSlots } })
     return false
   }
 
--- a/packages/programs/front/src/route-turn.ts
+++ b/packages/programs/front/src/route-turn.ts
@@ -23,12 +23,14 @@
 export class SuspectedPeers {
   private readonly suspicions = new Map<string, { readonly since: number, readonly until: number }>()
 
+  /** Suspects a member from now on; now: monotonic ms. */
   add (member: string, now: number): void {
     const suspicion = this.suspicions.get(member)
     const since = suspicion !== undefined && now - suspicion.until < suspicionMemoryMs ? suspicion.since : now
     this.suspicions.set(member, { since, until: now + suspicionMs })
   }
 
+  /** Whether the member is suspected; now: monotonic ms. */
   has (member: string, now: number): boolean {
     return (this.suspicions.get(member)?.until ?? -Infinity) > now
   }
@@ -42,7 +44,7 @@
 
 /** How long a peer stays suspected, in ms: less than the time until a refused client retries. */
 const suspicionMs = 350
-/** A member that is suspected again this long after its last suspicion ended, in ms, counts as newly suspected: it answered in between. */
+/** A member that is suspected again at least this long after its last suspicion ended, in ms, counts as newly suspected: it answered in between. */
 const suspicionMemoryMs = 1_000
 
 /** How long a turn waits for the handover of a shard, in ms. A planned handover is faster; after a crash the lease takes longer to expire. */
--- a/packages/programs/front/src/serve-turn.ts
+++ b/packages/programs/front/src/serve-turn.ts
@@ -112,7 +112,7 @@
     ports.decisions.note({ event: 'turnAdmitted', request: req.attempt.id, program: turn.program, previous: turn.previous, epoch: shard.epoch, promptBytes: body.length, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
   }
 
-  /** Starts the turn; `importedWrites` are the records of a chain from another shard that the turn continues. */
+  /** Starts the turn. `importedWrites` are the ledger writes of a chain imported from another shard. */
   start (importedWrites: readonly turnLedger.LedgerWrite[]): void {
     const writes = [...importedWrites, ...this.admission.writes]
     if (writes.length > 0) void this.shard.commit(writes).then((commit) => { this.onReservationCommitted(commit) })
--- a/packages/programs/front/src/upstream-health.ts
+++ b/packages/programs/front/src/upstream-health.ts
@@ -25,6 +25,7 @@
     this.outlierDetector = new trackUpstreams.OutlierDetector(ports.upstreams)
   }
 
+  /** Counts a request, as the basis of the outliers' failure rates. */
   noteSent (upstream: trackUpstreams.Upstream): void {
     this.outlierDetector.countRequest(upstream.listed.service, this.ports.timers.monotonic())
   }
