--- a/packages/programs/front/src/account-limits.ts
+++ b/packages/programs/front/src/account-limits.ts
@@ -16,7 +16,7 @@
   readonly routing: { readonly accounts: identifyClient.AccountDirectory, readonly version: number }
   /** Number of other hosts that report their load. With more hosts than shards, not all hosts are members of the group. */
   readonly peerCount: () => number
-  /** Requests by which an account may briefly exceed its limit. */
+  /** Requests by which the operator allows an account to briefly exceed its limit. */
   readonly slack: number
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
