--- a/packages/programs/front/src/answer-stream.ts
+++ b/packages/programs/front/src/answer-stream.ts
@@ -1,4 +1,4 @@
-/** The answer of an upstream as it passes to the client, in whole events, and again elsewhere where it breaks off and may go on. */
+/** Relays the streamed answer of an upstream to the client in complete events; a stream that breaks off may be resumed at another upstream. */
 import type * as sendHttp from '@eelgrasswind/send-http'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as trackUpstreams from '@eelgrasswind/track-upstreams'
@@ -7,56 +7,56 @@
 import * as eventSplitter from './event-splitter.js'
 import type * as inbound from './inbound.js'
 
-/** What is asked of the upstream. */
+/** The request to send to the upstream. */
 export interface AnswerStreamOptions {
   readonly body: Uint8Array
   readonly affinity: trackUpstreams.PromptAffinity | undefined
 }
 
-/** Told how the answer goes. Exactly one of `whole`, `error` and `broken` is called, once. */
+/** Callbacks for the progress of the answer. Exactly one of `onComplete`, `onErrorAnswer` and `onFailed` is called, once. */
 export interface AnswerStreamSink {
-  /** An upstream has answered. */
+  /** An upstream has sent the head of its answer. */
   readonly onHead?: (upstream: types.UpstreamId) => void
-  /** All events have passed to the client; its answer is not ended yet. */
+  /** All events have been relayed; the reply to the client is still open. */
   readonly onComplete: () => void
-  /** The upstream answered with an error, which the client has in full. */
+  /** The upstream answered with an error status, and the complete answer has been relayed. */
   readonly onErrorAnswer?: () => void
-  /** No whole answer. The client has been told, unless it is the one that left. */
+  /** There is no complete answer. The client's reply has been refused or aborted, unless the client disconnected. */
   readonly onFailed?: () => void
 }
 
 const lineFeed = Buffer.from('\n')
 const okStatus = 200
 
-/** One stream from the moment that it is sent to an upstream. */
+/** One streamed answer, from sending the request to the end of the last event. */
 export class AnswerStream {
   private readonly events = new eventSplitter.EventSplitter()
-  private readonly texts: Buffer[] = []
-  private readonly held: Buffer[] = []
-  private readonly sent: dispatch.Dispatch
-  private head: sendHttp.Head | undefined
+  private readonly eventData: Buffer[] = []
+  private readonly pendingChunks: Buffer[] = []
+  private readonly dispatch: dispatch.Dispatch
+  private answerHead: sendHttp.Head | undefined
   private lastEventId: string | undefined
-  private passes: boolean
-  private complete = false
-  private over = false
-  private limit: timerService.Subscription | undefined
-  private count = 0
+  private isRelaying: boolean
+  private hasAnswerEnded = false
+  private isFinished = false
+  private deadlineTimer: timerService.Subscription | undefined
+  private eventCount = 0
 
-  /** Passes: whether the client may have what comes; otherwise it is held until `pass`. */
+  /** `isRelaying`: whether the answer is relayed from the start; otherwise it is buffered until `startRelaying`. */
   constructor (
     private readonly ports: dispatch.DispatchPorts,
     private readonly req: inbound.InboundRequest,
     options: AnswerStreamOptions,
-    passes: boolean,
+    isRelaying: boolean,
     private readonly sink: AnswerStreamSink
   ) {
-    this.passes = passes
-    this.sent = new dispatch.Dispatch(ports, req, { ...options, resumeAfter: () => this.lastEventId }, {
+    this.isRelaying = isRelaying
+    this.dispatch = new dispatch.Dispatch(ports, req, { ...options, resumeAfter: () => this.lastEventId }, {
       head: (head, upstream) => { this.onHead(head, upstream) },
       data: (chunk) => { this.onData(chunk) },
       resumed: () => { this.events.reset() },
       end: () => {
-        this.complete = true
+        this.hasAnswerEnded = true
         this.flush()
       },
       fail: (failure) => { this.abort(dispatch.toRefusal(failure)) }
@@ -65,39 +65,39 @@
 
   /** Whether an upstream may have worked on the request. */
   get mayHaveRun (): boolean {
-    return this.sent.mayHaveRun
+    return this.dispatch.mayHaveRun
   }
 
-  /** Tokens of the whole events so far; a turn makes no more than it asked for. */
+  /** Tokens of the complete events so far, capped at `maxTokens`, the most that the turn may generate. */
   countTokens (maxTokens: number): number {
-    return Math.min(maxTokens, this.count * this.req.tokensPerEvent)
+    return Math.min(maxTokens, this.eventCount * this.req.tokensPerEvent)
   }
 
-  /** The data of all events, each followed by a line feed. */
+  /** The data of all events, each followed by a line feed; empty if the route keeps no turns. */
   concatOutput (): Buffer {
-    return Buffer.concat(this.texts)
+    return Buffer.concat(this.eventData)
   }
 
   start (): void {
     const { req, ports } = this
-    this.limit = ports.timers.after(req.deadlineAt - ports.timers.monotonic(), () => { this.abort({ type: 'timeout' }) })
+    this.deadlineTimer = ports.timers.after(req.deadlineAt - ports.timers.monotonic(), () => { this.abort({ type: 'timeout' }) })
     req.reply.onGone(() => { this.abort(undefined) })
-    this.sent.start()
+    this.dispatch.start()
   }
 
-  /** The client may have what has come, and what comes from now on. */
+  /** Relays the buffered part of the answer, and whatever arrives from now on. */
   startRelaying (): void {
-    this.passes = true
+    this.isRelaying = true
     this.flush()
   }
 
-  /** Ends the request without a whole answer; no refusal: the client is gone. */
+  /** Ends the request without a complete answer. `refusal` is `undefined` if the client has disconnected. */
   abort (refusal: inbound.Refusal | undefined): void {
-    if (this.over) return
-    this.finish()
-    const { mayHaveRun: ran } = this
-    this.sent.cancel()
-    this.ports.decisions.note({ event: 'streamBroken', request: this.req.attempt.id, ran, events: this.count, reason: refusal?.type ?? 'clientGone' })
+    if (this.isFinished) return
+    this.markFinished()
+    const { mayHaveRun } = this
+    this.dispatch.cancel()
+    this.ports.decisions.note({ event: 'streamBroken', request: this.req.attempt.id, ran: mayHaveRun, events: this.eventCount, reason: refusal?.type ?? 'clientGone' })
     this.sink.onFailed?.()
     if (refusal === undefined) return
     if (this.req.reply.headSent) this.req.reply.abort()
@@ -105,44 +105,44 @@
   }
 
   private onHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
-    this.head = head
+    this.answerHead = head
     this.sink.onHead?.(upstream)
     this.flush()
   }
 
   private onData (chunk: Buffer): void {
-    if (this.head?.status !== okStatus) {
-      this.held.push(chunk)
+    if (this.answerHead?.status !== okStatus) {
+      this.pendingChunks.push(chunk)
       return
     }
-    for (const event of this.events.push(chunk)) this.take(event)
+    for (const event of this.events.push(chunk)) this.addEvent(event)
     this.flush()
   }
 
-  private take (event: eventSplitter.StreamEvent): void {
-    this.count += 1
-    if (this.req.route.retain?.keepsTurns === true) this.texts.push(event.data, lineFeed)
+  private addEvent (event: eventSplitter.StreamEvent): void {
+    this.eventCount += 1
+    if (this.req.route.retain?.keepsTurns === true) this.eventData.push(event.data, lineFeed)
     this.lastEventId = event.id ?? this.lastEventId
-    this.held.push(event.raw)
+    this.pendingChunks.push(event.raw)
   }
 
   private flush (): void {
-    if (this.head === undefined || !this.passes || this.over) return
+    if (this.answerHead === undefined || !this.isRelaying || this.isFinished) return
     const { reply } = this.req
-    if (!reply.headSent) reply.head(this.head.status, this.ports.dialect.answerHeaders(this.head.rawHeaders))
-    for (const raw of this.held.splice(0)) this.write(raw)
-    if (this.complete) this.end(this.head)
+    if (!reply.headSent) reply.head(this.answerHead.status, this.ports.dialect.answerHeaders(this.answerHead.rawHeaders))
+    for (const raw of this.pendingChunks.splice(0)) this.write(raw)
+    if (this.hasAnswerEnded) this.completeAnswer(this.answerHead)
   }
 
   private write (raw: Buffer): void {
     if (this.req.reply.data(raw)) return
-    this.sent.pause()
-    this.req.reply.onDrain(() => { this.sent.resume() })
+    this.dispatch.pause()
+    this.req.reply.onDrain(() => { this.dispatch.resume() })
   }
 
-  private end (head: sendHttp.Head): void {
+  private completeAnswer (head: sendHttp.Head): void {
     if (head.status !== okStatus) {
-      this.finish()
+      this.markFinished()
       this.req.reply.end()
       this.sink.onErrorAnswer?.()
       return
@@ -151,12 +151,12 @@
       this.abort({ type: 'answerLost', detail: 'the stream ended within an event' })
       return
     }
-    this.finish()
+    this.markFinished()
     this.sink.onComplete()
   }
 
-  private finish (): void {
-    this.over = true
-    this.limit?.cancel()
+  private markFinished (): void {
+    this.isFinished = true
+    this.deadlineTimer?.cancel()
   }
 }
--- a/packages/programs/front/src/check-head.ts
+++ b/packages/programs/front/src/check-head.ts
@@ -1,4 +1,4 @@
-/** Decides from the head of a request who asks, for what, and where it goes: before any of its body is read. */
+/** Identifies the caller of a request and selects its route and service from the head, before the body is read. */
 import type * as http from 'node:http'
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as identifyClient from '@eelgrasswind/identify-client'
@@ -9,64 +9,65 @@
 import type * as dialects from './dialect.js'
 import type * as inbound from './inbound.js'
 
-/** What it takes to check heads. */
+/** Dependencies of `checkHead`. */
 export interface CheckHeadPorts {
   readonly dialect: Pick<dialects.Dialect, 'decodeAttempt' | 'presentedKey'>
   readonly decisions: decisionLog.DecisionLog
   readonly routing: Pick<currentRouting.CurrentRouting, 'routes' | 'accounts' | 'ageMs'>
 }
 
-/** Time to come back where no routing in force is known, in ms: one read of the store and some. */
-export const notReadyRetryMs = 500
-/** A routing that the store has not confirmed for this long, in ms, may lack keys that are in force: a change is read within about a second. */
-const staleRoutingMs = 2_000
+/** Retry-after time while no current routing is known, in ms: slightly more than one read from the store. */
+export const notReadyRetryAfterMs = 500
+/** A routing that the store has not confirmed for this long, in ms, may lack valid keys: changes are normally read within about a second. */
+const routingStaleAfterMs = 2_000
 
-/** A request whose head says all that decides where it goes and whose it is. */
+/** A request whose head has passed all checks, with its route, service and caller. */
 export interface CheckedHead {
   readonly type: 'checked'
   readonly attempt: dialects.ClientAttempt
+  /** A turn involves the owner of its program; a stream is any other request with a streamed answer, a call one without. */
   readonly kind: 'turn' | 'stream' | 'call'
   readonly path: string
   readonly route: routeRequest.Route
   readonly service: types.ServiceId
   readonly tokensPerEvent: number
   readonly caller: identifyClient.Caller
-  /** Version of the configuration that all of this was decided by. */
+  /** Version of the routing that was used for the checks. */
   readonly version: number
 }
 
-/** A checked head, or what the client is told. */
+/** A checked head, or the refusal for the client. */
 export type HeadOutcome = CheckedHead | { readonly type: 'refused', readonly refusal: inbound.Refusal }
 
-/** Who asks is decided before any of the body is read, by one version of the configuration. */
+/** Checks the head of a request against one version of the routing. */
 export function checkHead (ports: CheckHeadPorts, req: http.IncomingMessage, routing: routeRequest.Routing): HeadOutcome {
   const { decisions, dialect } = ports
   const decoded = dialect.decodeAttempt(req.headers)
-  if (decoded.type === 'invalid') return refused(decoded)
+  if (decoded.type === 'invalid') return createRefusal(decoded)
   const { id, turn } = decoded.attempt
   const path = req.url ?? '/'
   const route = ports.routing.routes.find(req.headers.host ?? '', path)
   const service = route === undefined ? undefined : routeRequest.chooseService(route, Math.random)
   if (route === undefined || service === undefined) {
     decisions.note({ event: 'unknownRoute', request: id, host: req.headers.host, path, version: routing.version })
-    return refused({ type: 'unknownRoute' })
+    return createRefusal({ type: 'unknownRoute' })
   }
-  const presented = dialect.presentedKey(req.rawHeaders)
-  const identified = identifyClient.identifyCaller(ports.routing.accounts, route, presented)
+  const presentedKey = dialect.presentedKey(req.rawHeaders)
+  const identified = identifyClient.identifyCaller(ports.routing.accounts, route, presentedKey)
   if (identified.type === 'unknownKey') {
     const routingAgeMs = Math.round(ports.routing.ageMs)
-    decisions.note({ event: 'unknownKey', request: id, route: route.name, key: presented.type, version: routing.version, routingAgeMs })
-    // A newer version may hold the key.
-    if (routingAgeMs > staleRoutingMs && presented.type === 'key') return refused({ type: 'notReady', retryAfterMs: notReadyRetryMs })
-    return refused({ type: 'unknownKey' })
+    decisions.note({ event: 'unknownKey', request: id, route: route.name, key: presentedKey.type, version: routing.version, routingAgeMs })
+    // A newer version of the routing may contain the key.
+    if (routingAgeMs > routingStaleAfterMs && presentedKey.type === 'key') return createRefusal({ type: 'notReady', retryAfterMs: notReadyRetryAfterMs })
+    return createRefusal({ type: 'unknownKey' })
   }
-  const problem = checkTurn(route, turn)
-  if (problem !== undefined) return refused(problem)
+  const refusal = checkPreviousTurn(route, turn)
+  if (refusal !== undefined) return createRefusal(refusal)
   const { caller } = identified
   return {
     type: 'checked',
     attempt: accountScope.scopeAttempt(decoded.attempt, caller),
-    kind: kindOf(route, turn),
+    kind: classifyRequest(route, turn),
     path,
     route,
     service,
@@ -76,19 +77,19 @@
   }
 }
 
-function refused (refusal: inbound.Refusal): HeadOutcome {
+function createRefusal (refusal: inbound.Refusal): HeadOutcome {
   return { type: 'refused', refusal }
 }
 
-/** A turn has to pass the owner of its program where something of it is kept, or where the program has a budget. */
-function kindOf (route: routeRequest.Route, turn: dialects.TurnFields | undefined): 'turn' | 'stream' | 'call' {
+/** A request is a turn, which involves the owner of its program, if the route keeps turns or the program has a token budget. */
+function classifyRequest (route: routeRequest.Route, turn: dialects.TurnFields | undefined): 'turn' | 'stream' | 'call' {
   if (route.stream === undefined) return 'call'
   if (turn === undefined) return 'stream'
   return route.retain?.keepsTurns === true || turn.budgetTokens !== undefined ? 'turn' : 'stream'
 }
 
-/** A turn can't continue from another where none is kept. */
-function checkTurn (route: routeRequest.Route, turn: dialects.TurnFields | undefined): inbound.Refusal | undefined {
+/** Refuses a turn that names a previous turn on a route that keeps no turns. */
+function checkPreviousTurn (route: routeRequest.Route, turn: dialects.TurnFields | undefined): inbound.Refusal | undefined {
   if (turn?.previous === undefined || route.retain?.keepsTurns === true) return undefined
   return { type: 'invalid', field: 'turn to continue from', expected: 'none: this route keeps no turns' }
 }
--- a/packages/programs/front/src/client-listener.ts
+++ b/packages/programs/front/src/client-listener.ts
@@ -1,4 +1,4 @@
-/** Takes the requests of clients: checks them, finds their route, and has them served. */
+/** Accepts client requests: checks their heads, reads their bodies and dispatches them by kind. */
 import * as http from 'node:http'
 import * as identifyClient from '@eelgrasswind/identify-client'
 import type * as routeRequest from '@eelgrasswind/route-request'
@@ -7,48 +7,48 @@
 import * as inbound from './inbound.js'
 import * as limitGate from './limit-gate.js'
 import * as readRequest from './read-request.js'
-import type * as requestsUnderWay from './requests-under-way.js'
+import type * as inFlightRequests from './in-flight-requests.js'
 import * as routeTurn from './route-turn.js'
 import * as serveCall from './serve-call.js'
 
-/** What it takes to serve clients. */
+/** Dependencies of the client listener. */
 export interface ClientListenerPorts extends routeTurn.RouteTurnPorts, limitGate.LimitGatePorts {
   readonly routing: Pick<currentRouting.CurrentRouting, 'current' | 'routes' | 'accounts' | 'ageMs'>
-  readonly requests: requestsUnderWay.RequestsUnderWay
-  /** A routing that the store has not confirmed for this long, in ms, serves nobody; `undefined`: it always does. */
-  readonly mostRoutingAgeMs: number | undefined
-  /** Clients are asked to open their next connection elsewhere. */
+  readonly inFlightRequests: inFlightRequests.InFlightRequests
+  /** Requests are refused once the store has not confirmed the routing for this long, in ms; `undefined` sets no limit. */
+  readonly maxRoutingAgeMs: number | undefined
+  /** While true, answers carry `Connection: close`, so that clients connect to another process next. */
   readonly isStopping: () => boolean
 }
 
-/** Node refuses larger headers before the routing's own limit, in bytes, is looked at. */
-const largestHeaderBytes = 65_536
-/** An idle client connection is kept this much longer than the published limit, so that a limit that grows cuts nobody off. */
-const idleFactor = 1.5
+/** Node.js refuses larger headers, in bytes, before the limit of the routing is checked. */
+const maxHeaderBytes = 65_536
+/** Idle client connections are kept open for the published timeout times this factor, so that raising the timeout disconnects no client. */
+const keepAliveFactor = 1.5
 
-/** A server for clients, not yet listening. */
+/** Creates the HTTP server for clients, which does not listen yet. */
 export function createClientServer (ports: ClientListenerPorts): http.Server {
-  return http.createServer({ maxHeaderSize: largestHeaderBytes, requestTimeout: 0 }, (req, res) => { onRequest(ports, req, res) })
+  return http.createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => { handleRequest(ports, req, res) })
 }
 
-/** Applies the bounds of a routing to the connections of clients. */
+/** Applies the timeouts of a routing to the client connections. */
 export function applyBounds (server: http.Server, bounds: routeRequest.ClientBounds): void {
-  server.keepAliveTimeout = Math.round(bounds.idleTimeoutMs * idleFactor)
+  server.keepAliveTimeout = Math.round(bounds.idleTimeoutMs * keepAliveFactor)
   server.headersTimeout = bounds.headerTimeoutMs
 }
 
-function onRequest (ports: ClientListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
+function handleRequest (ports: ClientListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
   const arrivedAt = ports.timers.monotonic()
   if (ports.isStopping()) res.setHeader('Connection', 'close')
   const reply = new inbound.Reply(res)
   const routing = ports.routing.current
-  if (routing === undefined || ports.routing.ageMs > (ports.mostRoutingAgeMs ?? Infinity)) {
-    reply.refuse({ type: 'notReady', retryAfterMs: checkHead.notReadyRetryMs })
+  if (routing === undefined || ports.routing.ageMs > (ports.maxRoutingAgeMs ?? Infinity)) {
+    reply.refuse({ type: 'notReady', retryAfterMs: checkHead.notReadyRetryAfterMs })
     return
   }
-  const problem = readRequest.checkHeaders(req, routing.bounds)
-  if (problem !== undefined) {
-    reply.refuse(problem, ['Connection', 'close'])
+  const refusal = readRequest.checkHeaders(req, routing.bounds)
+  if (refusal !== undefined) {
+    reply.refuse(refusal, ['Connection', 'close'])
     return
   }
   const checked = checkHead.checkHead(ports, req, routing)
@@ -58,14 +58,14 @@
   }
   readRequest.readBody(req, routing.bounds.maxBodyBytes, (body) => {
     if (body === undefined) reply.refuse({ type: 'bodyTooLarge', limitBytes: routing.bounds.maxBodyBytes }, ['Connection', 'close'])
-    else void serve(ports, checked, req, res, reply, body, arrivedAt)
+    else void serveRequest(ports, checked, req, res, reply, body, arrivedAt)
   })
 }
 
-async function serve (ports: ClientListenerPorts, head: checkHead.CheckedHead, req: http.IncomingMessage, res: http.ServerResponse, reply: inbound.Reply, body: Buffer, arrivedAt: number): Promise<void> {
+async function serveRequest (ports: ClientListenerPorts, head: checkHead.CheckedHead, req: http.IncomingMessage, res: http.ServerResponse, reply: inbound.Reply, body: Buffer, arrivedAt: number): Promise<void> {
   const { decisions } = ports
   const { attempt, caller, kind, path, route, service, tokensPerEvent, version } = head
-  ports.requests.add(res, reply, attempt, kind, arrivedAt)
+  ports.inFlightRequests.add(res, reply, attempt, kind, arrivedAt)
   const request: inbound.InboundRequest = {
     attempt,
     method: req.method ?? 'GET',
--- a/packages/programs/front/src/current-routing.ts
+++ b/packages/programs/front/src/current-routing.ts
@@ -1,67 +1,67 @@
-/** The routing in force: follows the operator's documents, and never goes back to an older version. */
+/** Follows the routing that the operator publishes in the store, and never returns to an older version. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as followRecords from '@eelgrasswind/follow-records'
 import * as identifyClient from '@eelgrasswind/identify-client'
 import * as routeRequest from '@eelgrasswind/route-request'
 import type * as shardLog from '@eelgrasswind/shard-log'
 
-/** Where the routing stands in the store, and how it is written. */
+/** Location of the routing in the store, and its encoding. */
 export interface RoutingDocument {
   readonly partition: shardLog.Partition
   readonly key: string
-  /** Throws where the bytes are no routing. */
+  /** Throws if the bytes are not a valid routing. */
   readonly decode: (value: Uint8Array) => routeRequest.Routing
 }
 
-/** What it takes to follow the routing. */
+/** Dependencies of `CurrentRouting`. */
 export interface CurrentRoutingPorts extends followRecords.FollowerPorts {
   readonly document: RoutingDocument
   readonly decisions: decisionLog.DecisionLog
-  /** Another version is in force. */
+  /** A newer version has taken effect. */
   readonly onChange: (routing: routeRequest.Routing) => void
 }
 
-/** The store holds a read of the routing this long, in ms: a change arrives at once, a silent connection is noticed soon. */
-const waitMs = 900
+/** Long-poll timeout of the store for reads of the routing, in ms: changes arrive at once, and a dead connection is noticed soon. */
+const longPollMs = 900
 
 /** The newest routing that this process has read. */
 export class CurrentRouting {
   private readonly follower: followRecords.RecordFollower
   private routing: routeRequest.Routing | undefined
-  private table: routeRequest.RouteTable = routeRequest.createRouteTable([])
-  private directory: identifyClient.AccountDirectory = identifyClient.createAccountDirectory([])
+  private routeTable: routeRequest.RouteTable = routeRequest.createRouteTable([])
+  private accountDirectory: identifyClient.AccountDirectory = identifyClient.createAccountDirectory([])
 
   constructor (private readonly ports: CurrentRoutingPorts) {
     const { partition, key } = ports.document
-    this.follower = new followRecords.RecordFollower({ partition, pollMs: 0, longPollMs: waitMs }, ports, {
-      onSnapshot: (found) => {
-        const value = found.get(key)
-        if (value !== undefined) this.take(value)
+    this.follower = new followRecords.RecordFollower({ partition, pollMs: 0, longPollMs }, ports, {
+      onSnapshot: (records) => {
+        const value = records.get(key)
+        if (value !== undefined) this.applyDocument(value)
       },
-      onPut: (changed, value) => { if (changed === key) this.take(value) },
+      onPut: (changedKey, value) => { if (changedKey === key) this.applyDocument(value) },
       onRemove: () => {}
     })
   }
 
-  /** `undefined` until the first version was read. */
+  /** `undefined` until the first version has been read. */
   get current (): routeRequest.Routing | undefined {
     return this.routing
   }
 
-  /** Version of the routing in force; 0 before the first. */
+  /** Version of the current routing; 0 before the first. */
   get version (): number {
     return this.routing?.version ?? 0
   }
 
   get routes (): routeRequest.RouteTable {
-    return this.table
+    return this.routeTable
   }
 
   get accounts (): identifyClient.AccountDirectory {
-    return this.directory
+    return this.accountDirectory
   }
 
-  /** How long ago the store last confirmed that nothing newer is in force, in ms. */
+  /** Time since the store last confirmed that there is no newer version, in ms. */
   get ageMs (): number {
     return this.follower.ageMs()
   }
@@ -74,14 +74,14 @@
     this.follower.stop()
   }
 
-  /** Versions only rise within the life of a process. */
-  private take (value: Uint8Array): void {
+  /** Applies a published routing, unless it is invalid or not newer than the current one. */
+  private applyDocument (value: Uint8Array): void {
     const { decisions, document, onChange } = this.ports
     let next: routeRequest.Routing
-    let directory: identifyClient.AccountDirectory
+    let accountDirectory: identifyClient.AccountDirectory
     try {
       next = document.decode(value)
-      directory = identifyClient.createAccountDirectory(next.accounts)
+      accountDirectory = identifyClient.createAccountDirectory(next.accounts)
     } catch (err) {
       decisions.note({ event: 'routingUnreadable', err, version: this.routing?.version })
       return
@@ -89,8 +89,8 @@
     if (this.routing !== undefined && next.version <= this.routing.version) return
     decisions.note({ event: 'routing', version: next.version, former: this.routing?.version, routes: next.routes.length, accounts: next.accounts?.length })
     this.routing = next
-    this.directory = directory
-    this.table = routeRequest.createRouteTable(next.routes)
+    this.accountDirectory = accountDirectory
+    this.routeTable = routeRequest.createRouteTable(next.routes)
     onChange(next)
   }
 }
--- a/packages/programs/front/src/dialect.ts
+++ b/packages/programs/front/src/dialect.ts
@@ -1,78 +1,78 @@
-/** How requests and answers are written on the wire. The adapter implements it; nothing else knows header names. */
+/** Encoding of requests and answers in HTTP headers. A platform's adapter implements it; no other code knows the platform's header names. */
 import type * as http from 'node:http'
 import type * as identifyClient from '@eelgrasswind/identify-client'
 import type * as types from '@eelgrasswind/types'
 import type * as sendHttp from '@eelgrasswind/send-http'
 import type * as turnLedger from '@eelgrasswind/turn-ledger'
 
-/** What a turn of a program says of itself. */
+/** The fields of a turn, one request to a model in a program's series of requests. */
 export interface TurnFields {
   readonly program: types.ProgramId
-  /** The turn that it continues from. */
+  /** The turn that this one continues; `undefined` for the first turn of a program. */
   readonly previous: turnLedger.TurnId | undefined
-  /** Tokens of its whole prompt; 0 where it does not say. */
+  /** Tokens of the whole prompt; 0 if the client does not say. */
   readonly promptTokens: number
-  /** The most tokens that it may make. */
+  /** Maximum number of tokens that the turn may generate. */
   readonly maxTokens: number
-  /** Tokens that all turns of the program may make together. */
+  /** Maximum number of tokens that all turns of the program may generate together; `undefined` without a budget. */
   readonly budgetTokens: number | undefined
-  /** Time until the program should be finished, in ms. */
+  /** Time until the program should be finished, in ms; `undefined` if the client does not say. */
   readonly finishMs: number | undefined
-  /** Parts of the prompt in order, each an id that requests with the same text share. */
+  /** Ids of the parts of the prompt, in order; requests with the same text share an id. */
   readonly promptParts: readonly string[]
 }
 
 /** One attempt of a client at a request. */
 export interface ClientAttempt {
   readonly id: turnLedger.TurnId
-  /** How long the client waits from now on, in ms; `undefined` where it does not say. */
+  /** Time that the client will wait for the answer from now on, in ms; `undefined` if it does not say. */
   readonly deadlineMs: number | undefined
-  /** The program that makes the request, if it says so. */
+  /** The program that makes the request, if it is named. */
   readonly program: types.ProgramId | undefined
-  /** Present on requests of programs that name a token limit. */
+  /** Present if the request names a program and a token limit. */
   readonly turn: TurnFields | undefined
 }
 
-/** A request as its headers say it, or the field that is wrong. */
+/** The decoded headers of a request, or the field that is invalid. */
 export type DecodedAttempt =
   | { readonly type: 'attempt', readonly attempt: ClientAttempt }
   | { readonly type: 'invalid', readonly field: string, readonly expected: string }
 
-/** What the head of an upstream's answer says beside its status. */
+/** What the head of an upstream's answer states besides its status. */
 export interface AnswerFacts {
-  /** The request that it answers, as the upstream says. */
+  /** Id of the request that the upstream claims to answer. */
   readonly requestId: string | undefined
-  /** Carries the upstream's signature, which every answer of its own has. */
+  /** Whether the answer carries the upstream's signature; all answers that the upstream itself produces do. */
   readonly signed: boolean
-  /** The upstream states that it did not run the request, and will not. */
+  /** Whether the upstream states that it has not run the request and will not. */
   readonly notRun: boolean
-  /** The address belongs to another incarnation than the one that was asked for. */
+  /** Whether the address belongs to another incarnation of the upstream than the one that was addressed. */
   readonly wrongIncarnation: boolean
 }
 
-/** What the system adds to a request that it sends to an upstream. */
+/** Values for the headers that the system sets on requests to upstreams. */
 export interface UpstreamFields {
   /** Time left for the answer, in ms. */
   readonly deadlineMs: number
-  /** Name of the upstream that the request is meant for. */
+  /** Name of the upstream that the request is addressed to. */
   readonly upstream: string
   readonly bodyBytes: number
-  /** Id of the last event that was received: the upstream goes on after it. `undefined`: as the client asked. */
+  /** Id of the last event that was received, after which the upstream should resume the stream. `undefined` keeps what the client sent. */
   readonly resumeAfter: string | undefined
-  /** Who asks. Where the configuration has accounts, their keys are not passed on. */
+  /** Who made the request. If the routing has accounts, their keys are not forwarded. */
   readonly caller: identifyClient.Caller
 }
 
 /** Reads and writes the headers of requests and answers. */
 export interface Dialect {
-  /** The key that a request carries; several are unreadable. */
+  /** Reads the key of a request; more than one key counts as unreadable. */
   readonly presentedKey: (raw: readonly string[]) => identifyClient.PresentedKey
   readonly decodeAttempt: (headers: http.IncomingHttpHeaders) => DecodedAttempt
-  /** Headers of a request to an upstream: what the client sent end to end, less what is the system's to set. */
+  /** Headers of a request to an upstream: the client's end-to-end headers, except that the system sets its own headers itself. */
   readonly upstreamHeaders: (raw: readonly string[], fields: UpstreamFields) => string[]
-  /** Headers of a request passed on to a peer, which decodes them as this process did. */
+  /** Headers of a request that is forwarded to a peer, which decodes them as this process did. */
   readonly peerHeaders: (raw: readonly string[], fields: { readonly deadlineMs: number, readonly bodyBytes: number, readonly caller: identifyClient.Caller }) => string[]
   readonly answerFacts: (head: sendHttp.Head) => AnswerFacts
-  /** End-to-end headers of an answer, name and value in turn. */
+  /** End-to-end headers of an answer, as alternating names and values. */
   readonly answerHeaders: (raw: readonly string[]) => string[]
 }
--- a/packages/programs/front/src/forward-header.ts
+++ b/packages/programs/front/src/forward-header.ts
@@ -1,4 +1,4 @@
-/** What the front processes tell one another beside a request: the route that the first of them chose, and who asks. */
+/** Headers between front processes: the route and caller of a forwarded turn, and the mark of a refusal by a process that does not own the program. */
 import type * as http from 'node:http'
 import type * as identifyClient from '@eelgrasswind/identify-client'
 import type * as routeRequest from '@eelgrasswind/route-request'
@@ -8,35 +8,35 @@
 const routeHeader = 'eelgrasswind-route'
 const notOwnerHeader = 'eelgrasswind-not-owner'
 
-/** The choices of the process that took the request; the owner keeps to them, also when its configuration is older or newer. */
-export interface Forwarded {
+/** Decisions of the process that received the request; the owner uses them even if its own routing is older or newer. */
+export interface ForwardedContext {
   readonly route: routeRequest.Route
   readonly service: types.ServiceId
   readonly tokensPerEvent: number
   readonly caller: identifyClient.Caller
 }
 
-/** The header, name and value, that goes with a turn to its owner. */
+/** The header, as name and value, that carries these decisions to the owner. */
 export function encode (req: inbound.InboundRequest): string[] {
-  const forwarded: Forwarded = { route: req.route, service: req.service, tokensPerEvent: req.tokensPerEvent, caller: req.caller }
+  const forwarded: ForwardedContext = { route: req.route, service: req.service, tokensPerEvent: req.tokensPerEvent, caller: req.caller }
   return [routeHeader, encodeURIComponent(JSON.stringify(forwarded))]
 }
 
-/** `undefined` where the header is missing or can't be read. */
-export function decode (headers: http.IncomingHttpHeaders): Forwarded | undefined {
+/** `undefined` if the header is missing or can't be decoded. */
+export function decode (headers: http.IncomingHttpHeaders): ForwardedContext | undefined {
   const text = headers[routeHeader]
   if (typeof text !== 'string') return undefined
   try {
-    return JSON.parse(decodeURIComponent(text)) as Forwarded
+    return JSON.parse(decodeURIComponent(text)) as ForwardedContext
   } catch {
     return undefined
   }
 }
 
-/** The header of a refusal by a process that does not own the program. */
-export const notOwner: readonly string[] = [notOwnerHeader, '1']
+/** Header that marks a refusal by a process that does not own the program. */
+export const notOwnerHeaders: readonly string[] = [notOwnerHeader, '1']
 
-/** Whether an answer is that refusal. */
-export function saysNotOwner (headers: http.IncomingHttpHeaders): boolean {
+/** Whether an answer is such a refusal. */
+export function isNotOwnerRefusal (headers: http.IncomingHttpHeaders): boolean {
   return headers[notOwnerHeader] !== undefined
 }
--- a/packages/programs/front/src/forward-turn.test.ts
+++ b/packages/programs/front/src/forward-turn.test.ts
@@ -7,22 +7,22 @@
 import type * as inbound from './inbound.js'
 import * as peerProbe from './peer-probe.js'
 
-/** A turn passed on to an owner that takes it and then says what the steps say, at their times in ms. */
-function fixture (lives: boolean, steps: (sink: sendHttp.AnswerSink, timers: timerService.TimerService) => void) {
+/** A turn forwarded to an owner that accepts it; `playAnswer` schedules the owner's answer. */
+function fixture (ownerAnswers: boolean, playAnswer: (sink: sendHttp.AnswerSink, timers: timerService.TimerService) => void) {
   const timers = timerService.createManualTimers()
-  const told: string[] = []
-  let cancelled = false
-  let asked = 0
+  const replyEvents: string[] = []
+  let isCancelled = false
+  let pingCount = 0
   const send: sendHttp.Sender['send'] = (_request, sink) => {
-    steps(sink, timers)
-    return { cancel: () => { cancelled = true }, pause: () => {}, resume: () => {} }
+    playAnswer(sink, timers)
+    return { cancel: () => { isCancelled = true }, pause: () => {}, resume: () => {} }
   }
   const reply = {
-    head: (status: number) => { told.push(`head ${status}`) },
+    head: (status: number) => { replyEvents.push(`head ${status}`) },
     data: () => true,
-    end: () => { told.push('end') },
-    abort: () => { told.push('abort') },
-    refuse: ({ type }: inbound.Refusal) => { told.push(type) },
+    end: () => { replyEvents.push('end') },
+    abort: () => { replyEvents.push('abort') },
+    refuse: ({ type }: inbound.Refusal) => { replyEvents.push(type) },
     onGone: () => {},
     onDrain: () => {}
   }
@@ -32,46 +32,46 @@
     dialect: { peerHeaders: () => [], answerHeaders: () => [] } as unknown as dialects.Dialect,
     timers,
     decisions: decisionLog.createSilentDecisionLog(),
-    probe: new peerProbe.PeerProbe({ ping: async () => { asked += 1; return lives } })
+    peerProbe: new peerProbe.PeerProbe({ ping: async () => { pingCount += 1; return ownerAnswers } })
   } as unknown as forwardTurn.ForwardPorts
   const outcome = forwardTurn.forwardTurn(ports, req, 'peer:1')
-  return { timers, outcome, told, asked: () => asked, cancelled: () => cancelled }
+  return { timers, outcome, replyEvents, pingCount: () => pingCount, isCancelled: () => isCancelled }
 }
 
-tap.test('an owner from which nothing comes and which does not answer a question is given up', async (t) => {
-  const { timers, outcome, told, cancelled } = fixture(false, () => {})
+tap.test('a turn is refused when its owner is silent and does not answer pings', async (t) => {
+  const { timers, outcome, replyEvents, isCancelled } = fixture(false, () => {})
   await timers.advanceAsync(900)
   t.same(await outcome, { type: 'answered' })
-  t.same(told, ['answerLost'])
-  t.ok(cancelled())
+  t.same(replyEvents, ['answerLost'])
+  t.ok(isCancelled())
 })
 
-tap.test('an owner that lives is waited for, to the deadline', async (t) => {
-  const { timers, outcome, told, asked } = fixture(true, () => {})
+tap.test('a silent owner that answers pings is waited for until the deadline', async (t) => {
+  const { timers, outcome, replyEvents, pingCount } = fixture(true, () => {})
   await timers.advanceAsync(3_900)
-  t.same(told, [])
-  t.ok(asked() > 0, 'it was asked')
+  t.same(replyEvents, [])
+  t.ok(pingCount() > 0, 'the owner was pinged')
   await timers.advanceAsync(200)
   t.same(await outcome, { type: 'answered' })
-  t.same(told, ['timeout'])
+  t.same(replyEvents, ['timeout'])
 })
 
-tap.test('an owner whose answer goes on is not asked', async (t) => {
-  const { timers, outcome, told, asked } = fixture(false, (sink, service) => {
-    service.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
-    for (const at of [300, 600, 900]) service.after(at, () => { sink.data(Buffer.from('x')) })
-    service.after(1_000, () => { sink.end() })
+tap.test('an owner that keeps sending its answer is not pinged', async (t) => {
+  const { timers, outcome, replyEvents, pingCount } = fixture(false, (sink, fakeTimers) => {
+    fakeTimers.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
+    for (const at of [300, 600, 900]) fakeTimers.after(at, () => { sink.data(Buffer.from('x')) })
+    fakeTimers.after(1_000, () => { sink.end() })
   })
   await timers.advanceAsync(1_200)
   t.same(await outcome, { type: 'answered' })
-  t.same([told, asked()], [['head 200', 'end'], 0])
+  t.same([replyEvents, pingCount()], [['head 200', 'end'], 0])
 })
 
-tap.test('an answer that stops with its owner is broken off', async (t) => {
-  const { timers, outcome, told } = fixture(false, (sink, service) => {
-    service.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
+tap.test('an answer is aborted when its owner falls silent after the head', async (t) => {
+  const { timers, outcome, replyEvents } = fixture(false, (sink, fakeTimers) => {
+    fakeTimers.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
   })
   await timers.advanceAsync(1_500)
   t.same(await outcome, { type: 'answered' })
-  t.same(told, ['head 200', 'abort'])
+  t.same(replyEvents, ['head 200', 'abort'])
 })
--- a/packages/programs/front/src/forward-turn.ts
+++ b/packages/programs/front/src/forward-turn.ts
@@ -1,71 +1,71 @@
-/** Passes a turn on to the process that owns its program, and its answer back. */
+/** Forwards a turn to the process that owns its program, and relays the answer. */
 import type * as sendHttp from '@eelgrasswind/send-http'
 import type * as dispatch from './dispatch.js'
 import * as forwardHeader from './forward-header.js'
 import type * as inbound from './inbound.js'
 import type * as peerProbe from './peer-probe.js'
 
-/** What came of passing a turn on. */
+/** Outcome of forwarding a turn. */
 export type ForwardOutcome =
-  /** The answer was passed back, or the client has been told otherwise. */
+  /** The request is over: the owner's answer was relayed, the reply was refused or aborted, or the client disconnected. */
   | { readonly type: 'answered' }
-  /** The other process does not own the program; nothing ran. */
+  /** The other process does not own the program; the turn has not run. */
   | { readonly type: 'notOwner' }
-  /** No connection or no go-ahead; nothing ran. Ended: its host says that no such process runs. */
+  /** No connection, or no `100 Continue`; the turn has not run. `ended`: the host refused the connection, so the process has ended. */
   | { readonly type: 'unreachable', readonly detail: string, readonly ended: boolean }
 
-/** Time for a connection to a peer, in ms: links take about one ms, so only an unreachable host takes longer. */
+/** Connect timeout for peers, in ms: network links take about one ms, so only an unreachable host takes longer. */
 const connectTimeoutMs = 200
 /**
- * Time for the owner to say that it takes the turn, in ms. A stopped process is found out after this, and the turn
- * has certainly not run there; a slow machine, or one whose processor share is used up, answers within about 120.
+ * Timeout for the owner's `100 Continue`, in ms. A process that does not respond is detected after this time, and the
+ * turn has certainly not run there; a slow machine, or one whose CPU quota is used up, answers within about 120.
  */
-const confirmMs = 250
+const confirmTimeoutMs = 250
 
 /**
- * A passed-on turn from which nothing came for this long, in ms, makes its owner be asked whether it lives. A host that
- * lost its power closes no connection: without the question each turn there waits for its whole time, 4 s, and its
- * client with it; with it the client can send the turn again after about 0.8 s.
+ * The owner is pinged if nothing has arrived from it for this long, in ms. A host that has lost power closes no
+ * connection: without the ping, each turn there waits for its full timeout, 4 s, and so does its client; with the ping,
+ * the client can retry the turn after about 0.8 s.
  */
-const quietMs = 400
+const silenceThresholdMs = 400
 
-/** What it takes to pass turns on. */
+/** Dependencies of `forwardTurn`. */
 export interface ForwardPorts extends dispatch.DispatchPorts {
-  readonly probe: peerProbe.PeerProbe
+  readonly peerProbe: peerProbe.PeerProbe
 }
 
-/** Resolves when the client has its answer, or when it is certain that nothing ran. */
+/** Resolves when the request is over, or when it is certain that the turn has not run. */
 export function forwardTurn (ports: ForwardPorts, req: inbound.InboundRequest, address: string): Promise<ForwardOutcome> {
   const { dialect, sender, timers } = ports
-  const leftMs = Math.floor(req.deadlineAt - timers.monotonic())
+  const remainingMs = Math.floor(req.deadlineAt - timers.monotonic())
   return new Promise((resolve) => {
     const { reply } = req
-    let relaying = false
-    let over = false
-    let heardAt = timers.monotonic()
+    let isRelaying = false
+    let isFinished = false
+    let lastReceivedAt = timers.monotonic()
     const exchange = sender.send({
       address,
       method: req.method,
       path: req.path,
-      headers: [...dialect.peerHeaders(req.rawHeaders, { deadlineMs: leftMs, bodyBytes: req.body.length, caller: req.caller }), ...forwardHeader.encode(req)],
+      headers: [...dialect.peerHeaders(req.rawHeaders, { deadlineMs: remainingMs, bodyBytes: req.body.length, caller: req.caller }), ...forwardHeader.encode(req)],
       body: req.body,
       connectTimeoutMs,
-      confirmMs,
-      // Its go-ahead shows that the connection lives.
+      confirmMs: confirmTimeoutMs,
+      // The owner's `100 Continue` shows that the connection is alive.
       atMostOnce: false
     }, {
       head: (head) => {
-        heardAt = timers.monotonic()
-        if (forwardHeader.saysNotOwner(head.headers)) {
+        lastReceivedAt = timers.monotonic()
+        if (forwardHeader.isNotOwnerRefusal(head.headers)) {
           exchange.cancel()
           finish({ type: 'notOwner' })
           return
         }
-        relaying = true
+        isRelaying = true
         reply.head(head.status, dialect.answerHeaders(head.rawHeaders))
       },
       data: (chunk) => {
-        heardAt = timers.monotonic()
+        lastReceivedAt = timers.monotonic()
         if (reply.data(chunk)) return
         exchange.pause()
         reply.onDrain(() => { exchange.resume() })
@@ -77,18 +77,18 @@
       fail: (failure) => { onFail(failure) }
     })
     const finish = (outcome: ForwardOutcome): void => {
-      over = true
-      limit.cancel()
-      watch.cancel()
+      isFinished = true
+      deadlineTimer.cancel()
+      silenceTimer.cancel()
       resolve(outcome)
     }
-    const watch = timers.every(quietMs, () => { void checkOwner() })
+    const silenceTimer = timers.every(silenceThresholdMs, () => { void checkOwner() })
     const checkOwner = async (): Promise<void> => {
-      const quietSince = heardAt
-      if (timers.monotonic() - quietSince < quietMs || await ports.probe.lives(address)) return
-      if (over || heardAt !== quietSince) return
+      const silentSince = lastReceivedAt
+      if (timers.monotonic() - silentSince < silenceThresholdMs || await ports.peerProbe.isAlive(address)) return
+      if (isFinished || lastReceivedAt !== silentSince) return
       exchange.cancel()
-      onFail({ verdict: 'mayHaveRun', cause: 'cancelled', detail: 'the owner of the program does not answer any more', reused: false })
+      onFail({ verdict: 'mayHaveRun', cause: 'cancelled', detail: 'the owner of the program no longer responds', reused: false })
     }
     const onFail = (failure: sendHttp.SendFailure): void => {
       if (failure.verdict === 'notRun') {
@@ -96,13 +96,13 @@
         return
       }
       ports.decisions.note({ event: 'peerAnswerLost', request: req.attempt.id, peer: address, cause: failure.cause, detail: failure.detail })
-      if (relaying) reply.abort()
-      else reply.refuse({ type: 'answerLost', detail: 'the connection to the owner of the program broke off' })
+      if (isRelaying) reply.abort()
+      else reply.refuse({ type: 'answerLost', detail: 'the connection to the owner of the program was lost' })
       finish({ type: 'answered' })
     }
-    const limit = timers.after(leftMs, () => {
+    const deadlineTimer = timers.after(remainingMs, () => {
       exchange.cancel()
-      if (relaying) reply.abort()
+      if (isRelaying) reply.abort()
       else reply.refuse({ type: 'timeout' })
       finish({ type: 'answered' })
     })
--- a/packages/programs/front/src/front.ts
+++ b/packages/programs/front/src/front.ts
@@ -1,4 +1,4 @@
-/** The front process: its listeners, its share of the programs, and its end. */
+/** The front process: its listeners, its shards and its graceful shutdown. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as http from 'node:http'
 import * as ownShards from '@eelgrasswind/own-shards'
@@ -19,82 +19,82 @@
 import * as peerFailureDetector from './peer-failure-detector.js'
 import * as programAdmission from './program-admission.js'
 import * as promptLocations from './prompt-locations.js'
-import * as requestsUnderWay from './requests-under-way.js'
+import * as inFlightRequests from './in-flight-requests.js'
 import * as retryBudget from './retry-budget.js'
 import * as routeTurn from './route-turn.js'
 import type * as settings from './settings.js'
 import * as storeOutage from './store-outage.js'
 import * as upstreamView from './upstream-view.js'
 
-/** How the published documents are written; the adapter implements it. */
+/** Location and encoding of the published documents; a platform's adapter implements it. */
 export interface DocumentFormat {
-  /** Where the operator's routing stands. */
+  /** Where the operator's routing is stored. */
   readonly routing: { readonly partition: shardLog.Partition, readonly key: string }
   readonly upstreams: shardLog.Partition
   readonly decodeRouting: (value: Uint8Array) => routeRequest.Routing
   readonly decodeUpstream: (key: string, value: Uint8Array) => trackUpstreams.ListedUpstream
 }
 
-/** What differs between platforms, and what a test replaces. */
+/** Dependencies that differ between platforms, or that a test replaces. */
 export interface FrontPorts {
   readonly log: shardLog.ShardLog
   readonly dialect: dialects.Dialect
   readonly documents: DocumentFormat
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
-  /** The settings that this process runs with, for its log. */
+  /** Name of the settings file, for the log. */
   readonly settingsFile: string
 }
 
-/** Idle connections are given up after this time, in ms: below the shortest idle limit of an upstream that is known, 5 s. At 2 s, three sends in ten opened a connection. */
-const idleMs = 3_500
-/** The same where connections are dropped unasked, for requests that must not run twice, in ms: some drop those that rested for 300. */
-const freshMs = 250
-/** The longest that a handover of a shard waits for the store's last answers, in ms: a slow one takes about 300. */
-const handoverMs = 900
-/** Time between two looks at the owners of all shards, in ms. */
-const ownersMs = 1_000
-/** After the signal to stop, new connections still come for this long, in ms: the balancer needs two questions to notice. */
-const lingerMs = 3_000
-/** The part of the time until its end that a process lets new connections come; the rest is for the last requests to end. */
-const lingerShare = 0.5
-/** The process ends this long before it would be ended by force, in ms. */
-const endMarginMs = 700
-/** Pause between two looks at the requests under way while stopping, in ms: well below the time that ending takes. */
-const endLookMs = 20
-/** A call to the store through a peer takes at most this, in ms: the peer's own limit and the way. */
+/** Idle outgoing connections are closed after this time, in ms: below the shortest known idle timeout of an upstream, 5 s. At 2 s, three sends in ten had to open a connection. */
+const idleConnectionMs = 3_500
+/** The same for requests that must not run twice, while upstreams drop idle connections without notice, in ms: some drop them after 300. */
+const freshConnectionMs = 250
+/** Timeout of a shard handover for the last answers of the store, in ms: a slow answer takes about 300. */
+const handoverTimeoutMs = 900
+/** Poll interval for the owners of all shards, in ms. */
+const ownersPollMs = 1_000
+/** New connections are still accepted for this long after the stop signal, in ms: the load balancer needs two readiness checks to notice. */
+const drainDelayMs = 3_000
+/** Upper limit of that time, as a share of the time that shutdown may take; the rest is left for the last requests to end. */
+const drainDelayShare = 0.5
+/** The process stops waiting for requests this long before it would be killed, in ms. */
+const shutdownMarginMs = 700
+/** Poll interval for the number of in-flight requests during shutdown, in ms: well below the time that shutdown takes. */
+const drainPollMs = 20
+/** Timeout of a store call that is relayed through a peer, in ms: the peer's own timeout plus the network time. */
 const relayTimeoutMs = 1_600
-/** A peer that can be reached answers within this, in ms, also when its processor share is used up for a tenth of a second. */
+/** Ping timeout, in ms: a reachable peer answers within it, even if its CPU quota is used up for a tenth of a second. */
 const pingTimeoutMs = 200
-/** Turns under way may end for this long before a process that is cut off gives its shards up, in ms. */
-const standDownGraceMs = 600
-/** Nobody waits for the answer to an announcement; its connection is given up after this, in ms. */
+/** Time for in-flight turns to end before an isolated process gives up its shards, in ms. */
+const suspendGraceMs = 600
+/** Timeout of an announcement, in ms; no code waits for its answer. */
 const announceTimeoutMs = 500
-/** Idle connections between the processes are kept by the answering side for this, in ms: longer than the asking side does. */
-const peerIdleMs = 10 * idleMs
+/** Idle timeout of connections between front processes on the called side, in ms: longer than on the calling side. */
+const peerKeepAliveMs = 10 * idleConnectionMs
 
-/** One front process, from its start to its end. */
+/** One front process, from start to exit. */
 export class Front {
-  private readonly sender = sendHttp.createSender({ idleMs, freshMs })
-  private readonly requests: requestsUnderWay.RequestsUnderWay
-  private readonly peerPorts: peerCalls.PeerCallPorts
+  private readonly sender = sendHttp.createSender({ idleMs: idleConnectionMs, freshMs: freshConnectionMs })
+  private readonly inFlightRequests: inFlightRequests.InFlightRequests
+  private readonly peerCallPorts: peerCalls.PeerCallPorts
   private readonly shards: ownShards.ShardOwner
-  private readonly watch: peerFailureDetector.PeerFailureDetector
+  private readonly failureDetector: peerFailureDetector.PeerFailureDetector
   private readonly routing: currentRouting.CurrentRouting
   private readonly upstreams: upstreamView.UpstreamView
   private readonly limits: accountLimits.AccountLimits
   private readonly clientServer: http.Server
   private readonly peerServer: http.Server
   private readonly readyServer: http.Server
-  private stopping = false
+  private isStopping = false
 
   constructor (private readonly cfg: settings.FrontSettings, private readonly ports: FrontPorts) {
     const { documents } = ports
-    this.requests = new requestsUnderWay.RequestsUnderWay(ports)
-    this.peerPorts = { sender: this.sender, timers: ports.timers, decisions: ports.decisions }
+    this.inFlightRequests = new inFlightRequests.InFlightRequests(ports)
+    this.peerCallPorts = { sender: this.sender, timers: ports.timers, decisions: ports.decisions }
     const log = this.createRelayedLog()
     this.shards = this.createShards(log)
-    this.watch = this.createWatch()
+    this.failureDetector = this.createFailureDetector()
     this.routing = new currentRouting.CurrentRouting({
       ...ports,
       log,
@@ -107,36 +107,36 @@
       partition: documents.upstreams,
       decode: documents.decodeUpstream,
       peerAddress: cfg.peerAddress,
-      peers: () => this.otherMembers()
+      peers: () => this.listPeerAddresses()
     })
-    this.limits = new accountLimits.AccountLimits({ ...this.peerPorts, shards: this.shards, routing: this.routing, peerCount: () => this.upstreams.peerLoads.peerCount, slack: cfg.limitSlack })
-    const turnPorts = this.turnPorts()
+    this.limits = new accountLimits.AccountLimits({ ...this.peerCallPorts, shards: this.shards, routing: this.routing, peerCount: () => this.upstreams.peerLoads.peerCount, slack: cfg.limitSlack })
+    const turnPorts = this.createTurnPorts()
     this.clientServer = clientListener.createClientServer({
       ...turnPorts,
       routing: this.routing,
-      requests: this.requests,
+      inFlightRequests: this.inFlightRequests,
       limits: this.limits,
-      mostRoutingAgeMs: cfg.mostRoutingAgeMs,
-      isStopping: () => this.stopping
+      maxRoutingAgeMs: cfg.mostRoutingAgeMs,
+      isStopping: () => this.isStopping
     })
-    this.peerServer = peerListener.createPeerServer({ ...turnPorts, directLog: ports.log, requests: this.requests, limits: this.limits }, peerIdleMs)
+    this.peerServer = peerListener.createPeerServer({ ...turnPorts, directLog: ports.log, inFlightRequests: this.inFlightRequests, limits: this.limits }, peerKeepAliveMs)
     this.readyServer = http.createServer((_req, res) => {
       res.writeHead(this.isReady ? 200 : 503)
       res.end()
     })
   }
 
-  /** Whether new clients should be sent here. */
+  /** Whether the load balancer should send new clients to this process. */
   get isReady (): boolean {
-    return !this.stopping && !this.watch.isIsolated && this.routing.current !== undefined && this.upstreams.isLoaded
+    return !this.isStopping && !this.failureDetector.isIsolated && this.routing.current !== undefined && this.upstreams.isLoaded
   }
 
   get servedShardCount (): number {
     return this.shards.listServingShards().length
   }
 
-  get requestsUnderWay (): number {
-    return this.requests.count
+  get inFlightRequestCount (): number {
+    return this.inFlightRequests.count
   }
 
   get routingVersion (): number {
@@ -159,32 +159,32 @@
     this.ports.decisions.note({ event: 'started', client: this.cfg.clientAddress, peer: this.cfg.peerAddress, zone: this.cfg.availabilityZone, settings: this.ports.settingsFile })
   }
 
-  /** Takes no new clients, hands the shards over, and resolves when the requests under way have ended. */
+  /** Shuts down gracefully: hands over the shards, stops accepting clients, and resolves when the in-flight requests have ended or the time is up. */
   async stop (): Promise<void> {
     const { timers, decisions } = this.ports
-    if (this.stopping) return
-    this.stopping = true
-    const stopAt = timers.monotonic()
-    decisions.note({ event: 'stopping', underWay: this.requests.count })
+    if (this.isStopping) return
+    this.isStopping = true
+    const stopStartedAt = timers.monotonic()
+    decisions.note({ event: 'stopping', underWay: this.inFlightRequests.count })
     await this.shards.leave()
-    const servingMs = this.cfg.graceMs - endMarginMs
-    const endAt = stopAt + servingMs
-    const lingerAt = stopAt + Math.min(lingerMs, servingMs * lingerShare)
-    await timerService.sleep(timers, Math.max(0, lingerAt - timers.monotonic()))
+    const shutdownTimeoutMs = this.cfg.graceMs - shutdownMarginMs
+    const drainDeadlineAt = stopStartedAt + shutdownTimeoutMs
+    const acceptUntil = stopStartedAt + Math.min(drainDelayMs, shutdownTimeoutMs * drainDelayShare)
+    await timerService.sleep(timers, Math.max(0, acceptUntil - timers.monotonic()))
     this.clientServer.close()
-    while (this.requests.count > 0 && timers.monotonic() < endAt) await timerService.sleep(timers, endLookMs)
-    // A request that is read from now on would run and be cut off when the process ends.
-    closeAll([this.clientServer, this.peerServer])
-    decisions.note({ event: 'stopped', underWay: this.requests.count, tookMs: Math.round(timers.monotonic() - stopAt) })
+    while (this.inFlightRequests.count > 0 && timers.monotonic() < drainDeadlineAt) await timerService.sleep(timers, drainPollMs)
+    // A request that is read after this point would run and be cut off when the process exits.
+    closeServers([this.clientServer, this.peerServer])
+    decisions.note({ event: 'stopped', underWay: this.inFlightRequests.count, tookMs: Math.round(timers.monotonic() - stopStartedAt) })
   }
 
-  /** Ends at once, as for tests: nothing is handed over. */
+  /** Stops at once without handing over shards, as tests need it. */
   close (): void {
     this.routing.stop()
     this.upstreams.stop()
     this.shards.close()
     this.limits.close()
-    closeAll([this.clientServer, this.peerServer, this.readyServer])
+    closeServers([this.clientServer, this.peerServer, this.readyServer])
     this.sender.close()
   }
 
@@ -192,8 +192,8 @@
     return new relayStore.RelayedLog({
       ...this.ports,
       directLog: this.ports.log,
-      peers: () => this.otherMembers(),
-      callPeer: (address, call) => peerCalls.callPeer(this.peerPorts, address, { type: 'store', call }, relayTimeoutMs)
+      peers: () => this.listPeerAddresses(),
+      callPeer: (address, call) => peerCalls.callPeer(this.peerCallPorts, address, { type: 'store', call }, relayTimeoutMs)
     }).log
   }
 
@@ -202,39 +202,39 @@
     return new ownShards.ShardOwner({
       group: 'homes',
       member: memberName.formatMemberName(cfg.host, cfg.peerAddress),
-      topics: shardTopics(cfg.shardTopics),
+      topics: listShardTopics(cfg.shardTopics),
       partitionsPerTopic: cfg.storeParts,
       leaseMs: cfg.leaseMs,
       heartbeatMs: cfg.heartbeatMs,
-      ownersPollMs: ownersMs,
-      handoverTimeoutMs: handoverMs
-    }, { ...this.ports, log, onShardsReleased: () => { this.announce() } })
+      ownersPollMs,
+      handoverTimeoutMs
+    }, { ...this.ports, log, onShardsReleased: () => { this.announceFreeShards() } })
   }
 
-  private createWatch (): peerFailureDetector.PeerFailureDetector {
+  private createFailureDetector (): peerFailureDetector.PeerFailureDetector {
     return new peerFailureDetector.PeerFailureDetector({
       ...this.ports,
-      peers: () => this.otherMembers(),
+      peers: () => this.listPeerAddresses(),
       ping: (address) => this.ping(address),
-      onSilent: (address) => { this.onSilent(address) },
-      onChange: (isolated) => { this.onIsolation(isolated) }
+      onPeerSilent: (address) => { this.onPeerSilent(address) },
+      onIsolationChanged: (isIsolated) => { this.onIsolationChanged(isIsolated) }
     })
   }
 
   private async ping (address: string): Promise<boolean> {
-    return await peerCalls.callPeer(this.peerPorts, address, { type: 'ping' }, pingTimeoutMs) !== undefined
+    return await peerCalls.callPeer(this.peerCallPorts, address, { type: 'ping' }, pingTimeoutMs) !== undefined
   }
 
-  private turnPorts (): routeTurn.RouteTurnPorts {
+  private createTurnPorts (): routeTurn.RouteTurnPorts {
     const { upstreams } = this
     return {
-      ...this.peerPorts,
+      ...this.peerCallPorts,
       dialect: this.ports.dialect,
       shards: this.shards,
-      failureDetector: this.watch,
+      failureDetector: this.failureDetector,
       suspects: new routeTurn.SuspectedPeers(),
       promptLocations: new promptLocations.PromptLocations(),
-      probe: new peerProbe.PeerProbe({ ping: (address) => this.ping(address) }),
+      peerProbe: new peerProbe.PeerProbe({ ping: (address) => this.ping(address) }),
       admission: new programAdmission.ProgramAdmission({ ...this.ports, upstreams: upstreams.list, peerLoads: upstreams.peerLoads, findEngineRules: (service) => this.routing.current?.services.get(service)?.engine, random: Math.random }),
       deferredTurns: new storeOutage.DeferredTurns(),
       retryBudget: new retryBudget.RetryBudget(),
@@ -245,36 +245,36 @@
     }
   }
 
-  private announce (silent?: string): void {
-    for (const address of this.otherMembers()) void peerCalls.callPeer(this.peerPorts, address, { type: 'joinNow', silent }, announceTimeoutMs)
+  private announceFreeShards (silentAddress?: string): void {
+    for (const address of this.listPeerAddresses()) void peerCalls.callPeer(this.peerCallPorts, address, { type: 'joinNow', silent: silentAddress }, announceTimeoutMs)
   }
 
-  /** The shards of a process that does not answer move now instead of when its lease lapses; its epoch is fenced. */
-  private onSilent (address: string): void {
+  /** Moves the shards of an unresponsive process now instead of when its lease expires; its epoch is fenced. */
+  private onPeerSilent (address: string): void {
     const member = this.shards.listMembers().find((name) => memberName.parsePeerAddress(name) === address)
     if (member === undefined) return
-    this.announce(address)
+    this.announceFreeShards(address)
     void this.shards.evict(member, 'silent')
   }
 
-  private otherMembers (): string[] {
+  private listPeerAddresses (): string[] {
     return this.shards.listMembers().filter((member) => !this.shards.isSelf(member)).map(memberName.parsePeerAddress)
   }
 
-  private onIsolation (isolated: boolean): void {
-    if (isolated) void this.shards.suspend(standDownGraceMs)
+  private onIsolationChanged (isIsolated: boolean): void {
+    if (isIsolated) void this.shards.suspend(suspendGraceMs)
     else this.shards.resume()
   }
 }
 
-function closeAll (servers: readonly http.Server[]): void {
+function closeServers (servers: readonly http.Server[]): void {
   for (const server of servers) {
     server.close()
     server.closeAllConnections()
   }
 }
 
-function shardTopics (count: number): string[] {
+function listShardTopics (count: number): string[] {
   return Array.from({ length: count }, (_, index) => `keyed.turns-${index}`)
 }
 
--- a/packages/programs/front/src/inbound.ts
+++ b/packages/programs/front/src/inbound.ts
@@ -1,4 +1,4 @@
-/** One request as it came in, and the way its answer goes out. */
+/** An incoming request and its reply. */
 import type * as http from 'node:http'
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as identifyClient from '@eelgrasswind/identify-client'
@@ -6,27 +6,27 @@
 import type * as types from '@eelgrasswind/types'
 import type * as dialects from './dialect.js'
 
-/** A request with its whole body, its route and its time limit. */
+/** A request with its complete body, its route and its deadline. */
 export interface InboundRequest {
   readonly attempt: dialects.ClientAttempt
   readonly method: string
   /** Path and query. */
   readonly path: string
-  /** Name and value in turn, as received. */
+  /** Alternating names and values, as received. */
   readonly rawHeaders: readonly string[]
   readonly body: Buffer
   readonly route: routeRequest.Route
   readonly service: types.ServiceId
-  /** Who asks, as the host that took the request decided. */
+  /** Who made the request, as decided by the host that received it. */
   readonly caller: identifyClient.Caller
-  /** Tokens that one event of the service's streams counts for. */
+  /** Number of tokens that one event of the service's streams counts as. */
   readonly tokensPerEvent: number
-  /** Monotonic ms by which it has its final answer. */
+  /** Deadline for the final answer, in monotonic ms. */
   readonly deadlineAt: number
   readonly reply: Reply
 }
 
-/** Why this process answers a request itself. Each names the status and whether the request may have run. */
+/** Reasons why this process answers a request itself. Each determines the HTTP status, and with it whether the request may have run. */
 export type Refusal =
   | { readonly type: 'notReady', readonly retryAfterMs: number }
   | { readonly type: 'shardMoving', readonly retryAfterMs: number }
@@ -36,19 +36,19 @@
   | { readonly type: 'peerUnreachable', readonly retryAfterMs: number }
   | { readonly type: 'unknownRoute' }
   | { readonly type: 'unknownKey' }
-  /** The client account has used its limit up. */
+  /** The client account has used up its limit. */
   | { readonly type: 'overLimit', readonly retryAfterMs: number }
   | { readonly type: 'unknownTurn' }
   | { readonly type: 'overBudget' }
   | { readonly type: 'invalid', readonly field: string, readonly expected: string }
   | { readonly type: 'headerTooLarge', readonly limitBytes: number }
   | { readonly type: 'bodyTooLarge', readonly limitBytes: number }
-  /** May have run. */
+  /** The request may have run. */
   | { readonly type: 'answerLost', readonly detail: string }
   | { readonly type: 'timeout' }
 
-/** HTTP status of a refusal. 429 and 503 promise that the request has not run and will not; 502 and 504 promise nothing. */
-export function statusOf (refusal: Refusal): number {
+/** HTTP status of a refusal. 429 and 503 guarantee that the request has not run and will not; 502 and 504 guarantee nothing. */
+export function getRefusalStatus (refusal: Refusal): number {
   switch (refusal.type) {
     case 'notReady':
     case 'shardMoving':
@@ -69,106 +69,106 @@
   }
 }
 
-/** How an answer ended. */
+/** How a reply ended. */
 export interface ReplyEnd {
   readonly outcome: decisionLog.RequestOutcome
   readonly status: number
-  /** Why it was refused. */
+  /** Type of the refusal, if it was refused. */
   readonly reason?: string
 }
 
-/** The answer to one request. Nothing is written once the client is gone. */
+/** The reply to one request. Nothing is written after the client has disconnected. */
 export class Reply {
-  private gone: (() => void) | undefined
-  private readonly ended: ((end: ReplyEnd) => void)[] = []
-  private headed: (() => void) | undefined
-  private finished = false
+  private goneListener: (() => void) | undefined
+  private readonly endListeners: ((end: ReplyEnd) => void)[] = []
+  private headListener: (() => void) | undefined
+  private isFinished = false
 
   constructor (private readonly res: http.ServerResponse) {
     res.on('close', () => {
-      if (this.finished) return
+      if (this.isFinished) return
       this.finish({ outcome: 'clientGone', status: res.statusCode })
-      this.gone?.()
+      this.goneListener?.()
     })
-    // A failed write is followed by 'close', which tells what has to be told.
+    // A failed write is followed by 'close', which is handled above.
     res.on('error', () => {})
   }
 
-  /** Each function given is called once with the way in which the answer ended. */
-  onEnd (run: (end: ReplyEnd) => void): void {
-    this.ended.push(run)
+  /** Adds a listener, which is called once when the reply has ended. */
+  onEnd (listener: (end: ReplyEnd) => void): void {
+    this.endListeners.push(listener)
   }
 
-  /** Called once when the head of an answer is sent. */
-  onHead (run: () => void): void {
-    this.headed = run
+  /** Sets the listener that is called once when the head of an answer is sent. */
+  onHead (listener: () => void): void {
+    this.headListener = listener
   }
 
-  /** True once the answer has ended or the client is gone. */
+  /** True once the reply has ended or the client has disconnected. */
   get over (): boolean {
-    return this.finished
+    return this.isFinished
   }
 
   get headSent (): boolean {
     return this.res.headersSent
   }
 
-  /** Called once if the client leaves before its answer is complete. */
-  onGone (run: () => void): void {
-    this.gone = run
+  /** Sets the listener that is called once if the client disconnects before the reply is complete. */
+  onGone (listener: () => void): void {
+    this.goneListener = listener
   }
 
-  refuse (refusal: Refusal, extra: readonly string[] = []): void {
-    if (this.finished) return
+  refuse (refusal: Refusal, extraHeaders: readonly string[] = []): void {
+    if (this.isFinished) return
     const { type, ...details } = refusal
-    this.finish({ outcome: 'refused', status: statusOf(refusal), reason: type })
+    this.finish({ outcome: 'refused', status: getRefusalStatus(refusal), reason: type })
     const body = JSON.stringify({ error: type, ...details })
-    const headers = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body)), ...extra]
+    const headers = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body)), ...extraHeaders]
     if ('retryAfterMs' in refusal) headers.push('Retry-After', (refusal.retryAfterMs / 1000).toFixed(2))
-    this.res.writeHead(statusOf(refusal), headers)
+    this.res.writeHead(getRefusalStatus(refusal), headers)
     this.res.end(body)
   }
 
-  /** Sends an answer whose body is known. */
+  /** Sends an answer whose complete body is available. */
   send (status: number, headers: readonly string[], body: Buffer): void {
-    if (this.finished) return
-    this.headed?.()
+    if (this.isFinished) return
+    this.headListener?.()
     this.finish({ outcome: 'whole', status })
     this.res.writeHead(status, [...headers, 'Content-Length', String(body.length)])
     this.res.end(body)
   }
 
   head (status: number, headers: readonly string[]): void {
-    if (this.finished) return
-    this.headed?.()
+    if (this.isFinished) return
+    this.headListener?.()
     this.res.writeHead(status, [...headers])
     this.res.flushHeaders()
   }
 
-  /** False: the client reads more slowly than this; wait for `onDrain`. */
+  /** Returns false if the client reads too slowly: write more only after `onDrain`. */
   data (chunk: Uint8Array): boolean {
-    return this.finished || this.res.write(chunk)
+    return this.isFinished || this.res.write(chunk)
   }
 
-  onDrain (run: () => void): void {
-    this.res.once('drain', run)
+  onDrain (listener: () => void): void {
+    this.res.once('drain', listener)
   }
 
   end (): void {
-    if (this.finished) return
+    if (this.isFinished) return
     this.finish({ outcome: 'whole', status: this.res.statusCode })
     this.res.end()
   }
 
-  /** Breaks the answer off so that it can't be taken for complete. */
+  /** Closes the connection, so that the client can't take the answer for complete. */
   abort (): void {
-    if (this.finished) return
+    if (this.isFinished) return
     this.finish({ outcome: 'brokenOff', status: this.res.statusCode })
     this.res.destroy()
   }
 
   private finish (end: ReplyEnd): void {
-    this.finished = true
-    for (const run of this.ended) run(end)
+    this.isFinished = true
+    for (const listener of this.endListeners) listener(end)
   }
 }
--- a/packages/programs/front/src/member-name.ts
+++ b/packages/programs/front/src/member-name.ts
@@ -1,13 +1,13 @@
-/** Names of the group's members: they carry the address at which a member takes turns. */
+/** Names of group members, which contain the address at which a member accepts requests of its peers. */
 
 const separator = '@'
 
-/** Name of a member: HOST@IP:PORT. */
+/** Formats a member name: HOST@IP:PORT. */
 export function formatMemberName (host: string, peerAddress: string): string {
   return `${host}${separator}${peerAddress}`
 }
 
-/** IP:PORT at which a member takes calls of its peers. */
+/** IP:PORT at which the member accepts requests of its peers. */
 export function parsePeerAddress (member: string): string {
   return member.slice(member.lastIndexOf(separator) + 1)
 }
--- a/packages/programs/front/src/peer-calls.ts
+++ b/packages/programs/front/src/peer-calls.ts
@@ -1,4 +1,4 @@
-/** Short calls between front processes: MessagePack over HTTP, on the connections that also carry passed-on turns. */
+/** Short calls between front processes: MessagePack over HTTP, on the connections that also carry forwarded turns. */
 import type * as http from 'node:http'
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as msgpack from '@msgpack/msgpack'
@@ -9,136 +9,136 @@
 import type * as types from '@eelgrasswind/types'
 import type * as meterChannel from './meter-channel.js'
 
-/** A turn that ended at a former owner, to be kept by the present one. */
+/** Asks the current owner of a program to store a turn that ended at a previous owner. */
 export interface SettleCall {
   readonly type: 'settle'
   readonly request: turnLedger.TurnRequest
   readonly end: Extract<turnLedger.TurnEnd, { type: 'whole' }>
 }
 
-/** Asks the owner of a program to reserve the tokens of a turn that the asking process runs. */
+/** Asks the owner of a program to reserve the tokens of a turn that the calling process runs. */
 export interface ReserveCall {
   readonly type: 'reserve'
   readonly request: turnLedger.TurnRequest
   readonly service: types.ServiceId
-  /** Tokens of the whole prompt; 0 where the client does not say. */
+  /** Tokens of the whole prompt; 0 if the client does not say. */
   readonly promptTokens: number
-  /** Parts of the prompt in order. */
+  /** Ids of the parts of the prompt, in order. */
   readonly promptParts: readonly string[]
 }
 
-/** What the owner says to that. */
+/** The owner's answer to a reservation. */
 export type ReserveAnswer =
-  /** The tokens may be handed out. Holder: the upstream that has the prompt's beginning, where the owner knows it. */
+  /** The turn may deliver its tokens. `holder`: the upstream that has the beginning of the prompt in its cache, if the owner knows it. */
   | { readonly type: 'reserved', readonly holder?: types.UpstreamId | undefined }
   | { readonly type: 'overBudget' }
-  /** Not now: the store does not answer, or the engines have too much to do for a new program. */
+  /** Retry later: the store does not answer, or the engines are too busy for a new program. */
   | { readonly type: 'later', readonly reason: 'storeAway' | 'upstreamsFull', readonly retryAfterMs: number }
-  /** The asked process does not own the program. */
+  /** The called process does not own the program. */
   | { readonly type: 'notOwner' }
 
-/** A turn with reserved tokens has ended at the process that ran it. */
+/** Reports that a turn with reserved tokens has ended at the process that ran it. */
 export interface ReleaseCall {
   readonly type: 'release'
   readonly request: turnLedger.TurnRequest
-  /** Tokens that were handed out. */
+  /** Number of tokens that were delivered. */
   readonly tokens: number
   readonly promptParts: readonly string[]
-  /** Where it ran, if it did. */
+  /** The upstream that ran the turn, if any did. */
   readonly upstream?: types.UpstreamId | undefined
 }
 
-/** Asks for a turn that a program of another shard continues from. */
+/** Asks for a turn that is continued by a program of another shard. */
 export interface FindChainCall {
   readonly type: 'findChain'
   readonly turn: turnLedger.TurnId
-  /** The client account that asks; `undefined`: none was named. */
+  /** The client account that made the request; `undefined` if none was named. */
   readonly account?: types.AccountId | undefined
 }
 
-/** What one process knows of a turn. */
+/** Result of the search for a turn in the shards of one process. */
 export type FindChainAnswer =
   | { readonly type: 'found', readonly chain: readonly turnLedger.StoredTurn[] }
-  /** None of these shards holds it, as the store has confirmed. */
+  /** None of these shards contains the turn, as the store has confirmed. */
   | { readonly type: 'absent', readonly partitions: readonly shardLog.PartitionName[] }
 
-/** A call that the store did not take from the asking process. */
+/** Relays a store call of a process that the store does not serve directly. */
 export interface RelayCall {
   readonly type: 'store'
   readonly call: shardLog.StoreCall
 }
 
-/** Shards have become free. */
+/** Announces that shards have become free, so that the receiver asks for them now. */
 export interface JoinNowCall {
   readonly type: 'joinNow'
-  /** Address of the silent process that they belonged to, if that is why. */
+  /** Address of the unresponsive process that owned them, if that is the reason. */
   readonly silent?: string | undefined
 }
 
-/** Whether the other process can be reached. */
+/** Checks whether the other process can be reached. */
 export interface PingCall {
   readonly type: 'ping'
 }
 
-/** Every call that one front makes to another, besides passing a turn on. */
+/** All calls between front processes, other than forwarded turns. */
 export type PeerCall = SettleCall | ReserveCall | ReleaseCall | FindChainCall | JoinNowCall | PingCall | RelayCall | meterChannel.MeterCall
 
-/** Whether a settled turn is kept. */
+/** Whether a settled turn was stored. */
 export type SettleAnswer =
   | { readonly type: 'kept' }
-  /** The asked process does not own the program. */
+  /** The called process does not own the program. */
   | { readonly type: 'notOwner' }
-  /** No tokens are reserved for such a turn: it can't be kept. */
+  /** No tokens are reserved for the turn, so it can't be stored. */
   | { readonly type: 'unknown' }
 
-const path = '/peer-call'
+const peerCallPath = '/peer-call'
 const connectTimeoutMs = 200
 const okStatus = 200
 
-/** Whether a request is such a call. */
+/** Whether a request is a peer call. */
 export function isPeerCall (req: http.IncomingMessage): boolean {
-  return req.url === path && req.method === 'PUT'
+  return req.url === peerCallPath && req.method === 'PUT'
 }
 
-/** Reads a call. Throws where the bytes are no MessagePack. */
+/** Decodes a call. Throws if the bytes are not valid MessagePack. */
 export function decodeCall (body: Buffer): PeerCall {
   return msgpack.decode(body) as PeerCall
 }
 
-/** What a call is answered with. */
+/** All answers to peer calls. */
 export type PeerAnswer = SettleAnswer | ReserveAnswer | FindChainAnswer | meterChannel.MeterCallAnswer | { readonly type: 'heard' } | shardLog.StoreAnswer
 
-/** Writes an answer. */
+/** Encodes an answer. */
 export function encodeAnswer (answer: PeerAnswer): Buffer {
-  return encode(answer)
+  return encodeMessage(answer)
 }
 
-/** What it takes to call a peer. */
+/** Dependencies of peer calls. */
 export interface PeerCallPorts {
   readonly sender: sendHttp.Sender
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** What comes of a call. */
+/** Outcome of a call. */
 export type CallOutcome<Answer> =
   | { readonly type: 'answer', readonly answer: Answer }
-  /** Ended: the peer's host says that no such process runs. */
+  /** No answer. `ended`: the peer's host refused the connection, so the process has ended. */
   | { readonly type: 'none', readonly ended: boolean }
 
-/** Makes the call; `undefined` where no answer came within the time, in ms. */
+/** Calls a peer; `undefined` if there is no answer within the timeout, in ms. */
 export async function callPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<Answer | undefined> {
   const outcome = await tryCallPeer<Answer>(ports, address, call, timeoutMs)
   return outcome.type === 'answer' ? outcome.answer : undefined
 }
 
-/** Makes the call and tells why there is no answer within the time, in ms. */
+/** Calls a peer and, if there is no answer within the timeout, in ms, reports whether its process has ended. */
 export async function tryCallPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<CallOutcome<Answer>> {
-  const body = encode(call)
+  const body = encodeMessage(call)
   const outcome = await sendHttp.sendWhole(ports.sender, ports.timers, {
     address,
     method: 'PUT',
-    path,
+    path: peerCallPath,
     headers: ['Host', address, 'Content-Length', String(body.length)],
     body,
     connectTimeoutMs,
@@ -150,7 +150,7 @@
   return answer === undefined ? { type: 'none', ended: false } : { type: 'answer', answer }
 }
 
-/** What can't be read is no answer. */
+/** An answer that can't be decoded counts as none. */
 function decodeAnswer<Answer> (ports: PeerCallPorts, body: Buffer): Answer | undefined {
   try {
     return msgpack.decode(body) as Answer
@@ -160,7 +160,7 @@
   }
 }
 
-function encode (value: unknown): Buffer {
+function encodeMessage (value: unknown): Buffer {
   const bytes = msgpack.encode(value, { ignoreUndefined: true })
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength)
 }
--- a/packages/programs/front/src/peer-failure-detector.test.ts
+++ b/packages/programs/front/src/peer-failure-detector.test.ts
@@ -5,85 +5,85 @@
 
 function fixture (peerCount: number) {
   const timers = timerService.createManualTimers()
-  const listed = new Set(Array.from({ length: peerCount }, (_, at) => `peer-${at}`))
+  const members = new Set(Array.from({ length: peerCount }, (_, index) => `peer-${index}`))
   const silent = new Set<string>()
-  const changes: boolean[] = []
-  const told: string[] = []
-  const watch = new peerFailureDetector.PeerFailureDetector({
-    peers: () => [...listed],
+  const isolationChanges: boolean[] = []
+  const reported: string[] = []
+  const detector = new peerFailureDetector.PeerFailureDetector({
+    peers: () => [...members],
     ping: async (address) => {
       await timerService.sleep(timers, silent.has(address) ? 200 : 1)
       return !silent.has(address)
     },
-    onSilent: (address) => { told.push(address) },
-    onChange: (isolated) => { changes.push(isolated) },
+    onPeerSilent: (address) => { reported.push(address) },
+    onIsolationChanged: (isIsolated) => { isolationChanges.push(isIsolated) },
     timers,
     decisions: decisionLog.createSilentDecisionLog()
   })
-  return { timers, listed, silent, changes, told, watch }
+  return { timers, members, silent, isolationChanges, reported, detector }
 }
 
-tap.test('a process that reaches no listed peer for longer than a lease is cut off', async (t) => {
-  const { timers, listed, silent, changes, watch } = fixture(5)
-  for (const peer of listed) silent.add(peer)
-  watch.suspect('peer-0')
+tap.test('a process that reaches no member for longer than a lease is isolated', async (t) => {
+  const { timers, members, silent, isolationChanges, detector } = fixture(5)
+  for (const peer of members) silent.add(peer)
+  detector.suspect('peer-0')
   await timers.advanceAsync(1_400)
-  t.same(changes, [])
+  t.same(isolationChanges, [])
   await timers.advanceAsync(1_000)
-  t.same(changes, [true])
+  t.same(isolationChanges, [true])
   silent.clear()
   await timers.advanceAsync(1_500)
-  t.same(changes, [true, false])
-  t.equal(timers.nextDue(), undefined, 'asks no more once all is well')
+  t.same(isolationChanges, [true, false])
+  t.equal(timers.nextDue(), undefined, 'no more pings after the recovery')
 })
 
-tap.test('peers that have ended do not make the others doubt themselves', async (t) => {
-  const { timers, listed, silent, changes, watch } = fixture(5)
+tap.test('peers that have ended do not isolate the others', async (t) => {
+  const { timers, members, silent, isolationChanges, detector } = fixture(5)
   for (const peer of ['peer-0', 'peer-1', 'peer-2', 'peer-3']) silent.add(peer)
-  watch.suspect('peer-0')
+  detector.suspect('peer-0')
   await timers.advanceAsync(1_200)
-  for (const peer of silent) listed.delete(peer)
+  for (const peer of silent) members.delete(peer)
   await timers.advanceAsync(5_000)
-  t.same(changes, [])
+  t.same(isolationChanges, [])
 })
 
-tap.test('a suspected peer is told once it misses a question that the others answer', async (t) => {
-  const { timers, silent, told, watch } = fixture(5)
+tap.test('a suspected peer is reported once it misses a ping that the others answer', async (t) => {
+  const { timers, silent, reported, detector } = fixture(5)
   silent.add('peer-0')
-  watch.suspect('peer-0')
-  watch.suspect('peer-1')
+  detector.suspect('peer-0')
+  detector.suspect('peer-1')
   await timers.advanceAsync(250)
-  t.same(told, ['peer-0'])
-  watch.suspect('peer-0')
+  t.same(reported, ['peer-0'])
+  detector.suspect('peer-0')
   await timers.advanceAsync(2_000)
-  t.same(told, ['peer-0'], 'not again so soon')
+  t.same(reported, ['peer-0'], 'not reported again within the minimum interval')
   await timers.advanceAsync(1_000)
-  watch.suspect('peer-0')
+  detector.suspect('peer-0')
   await timers.advanceAsync(600)
-  t.same(told, ['peer-0', 'peer-0'])
+  t.same(reported, ['peer-0', 'peer-0'])
 })
 
-tap.test('a process that reaches few peers tells of none', async (t) => {
-  const { timers, listed, silent, told, watch } = fixture(5)
-  for (const peer of listed) if (peer !== 'peer-4') silent.add(peer)
-  watch.suspect('peer-0')
+tap.test('a process that reaches few peers reports none of them', async (t) => {
+  const { timers, members, silent, reported, detector } = fixture(5)
+  for (const peer of members) if (peer !== 'peer-4') silent.add(peer)
+  detector.suspect('peer-0')
   await timers.advanceAsync(2_000)
-  t.same(told, [])
+  t.same(reported, [])
 })
 
-tap.test('what another process has told is not told again', async (t) => {
-  const { timers, silent, told, watch } = fixture(5)
+tap.test('a peer that another process has reported is not reported again', async (t) => {
+  const { timers, silent, reported, detector } = fixture(5)
   silent.add('peer-0')
-  watch.noteReportedSilent('peer-0')
-  watch.suspect('peer-0')
+  detector.noteReportedSilent('peer-0')
+  detector.suspect('peer-0')
   await timers.advanceAsync(1_000)
-  t.same(told, [])
+  t.same(reported, [])
 })
 
-tap.test('one peer that is cut off does not make the others doubt themselves', async (t) => {
-  const { timers, silent, changes, watch } = fixture(5)
+tap.test('one isolated peer does not isolate the others', async (t) => {
+  const { timers, silent, isolationChanges, detector } = fixture(5)
   silent.add('peer-0')
-  watch.suspect('peer-0')
+  detector.suspect('peer-0')
   await timers.advanceAsync(5_000)
-  t.same(changes, [])
+  t.same(isolationChanges, [])
 })
--- a/packages/programs/front/src/peer-failure-detector.ts
+++ b/packages/programs/front/src/peer-failure-detector.ts
@@ -1,117 +1,118 @@
 /**
- * Tells a silent peer from a cut-off process. A process that is cut off while the store still serves it keeps its lease,
- * so nobody else may serve its programs, and few can reach it: it does better to give them up. A peer that is silent
- * while the others answer is told: its shards need not wait until its lease lapses.
+ * Distinguishes a silent peer from the isolation of this process. A process that is isolated from its peers while the
+ * store still serves it keeps its lease, so no other process may serve its programs, and few can reach it: it should
+ * give up its shards. A peer that is silent while the others answer is reported, so that its shards move before its
+ * lease expires.
  */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as timerService from '@eelgrasswind/timer-service'
 
-/** What a watch needs from its process. */
-export interface PeerWatchPorts {
+/** Dependencies of `PeerFailureDetector`. */
+export interface PeerFailureDetectorPorts {
   /** Addresses of the other members. */
   readonly peers: () => readonly string[]
-  /** Whether a peer answers; it does so within the time that one round may take. */
+  /** Whether a peer answers; resolves within the time that one round may take. */
   readonly ping: (address: string) => Promise<boolean>
-  /** A peer that was suspected does not answer, and enough others do. */
-  readonly onSilent: (address: string) => void
-  /** This process is cut off, or reaches its peers again. */
-  readonly onChange: (isolated: boolean) => void
+  /** A suspected peer does not answer, and enough others do. */
+  readonly onPeerSilent: (address: string) => void
+  /** This process has become isolated, or reaches its peers again. */
+  readonly onIsolationChanged: (isIsolated: boolean) => void
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** Time between two rounds of questions while something is wrong, in ms. */
-const roundMs = 300
+/** Pause between two rounds of pings while a failure is suspected, in ms. */
+const roundIntervalMs = 300
 /**
- * How long all rounds must agree that peers are missing, in ms: longer than a lease, after which peers that have ended
- * are no longer listed as members. What is listed and does not answer then lives beyond a cut.
+ * How long all rounds must find too few peers before this process counts as isolated, in ms: longer than a lease, after
+ * which peers that have ended are no longer members. A member that does not answer then is alive behind a network partition.
  */
-const cutOffMs = 1_500
-/** How long all rounds must agree that peers answer again, in ms. */
-const reachableMs = 300
-/** Below this share of peers that answer, this process is the one that is cut off. */
-const leastShare = 0.5
+const isolationThresholdMs = 1_500
+/** How long all rounds must find enough peers before the isolation ends, in ms. */
+const recoveryThresholdMs = 300
+/** If a smaller share of the peers answers, this process is the one that is isolated. */
+const minReachableShare = 0.5
 /**
- * A silent peer is told again only after this, in ms: one that lives beyond a cut joins its group again at once, and to
- * give its shards up again and again would cost the others more than its lease does.
+ * Minimum time between two reports of the same silent peer, in ms: a peer that is alive behind a network partition joins
+ * its group again at once, and evicting it again and again would cost the others more than waiting for its lease to expire.
  */
-const tellAgainMs = 3_000
-/** With fewer peers there is no telling who is cut off. */
-const fewestPeers = 2
+const minReportIntervalMs = 3_000
+/** With fewer peers, the detector can't determine which process is isolated. */
+const minPeerCount = 2
 
-/** Asks nobody while all is well; a silent peer makes it ask all of them. */
+/** Sends no pings in normal operation; a suspected peer makes it ping all peers in rounds. */
 export class PeerFailureDetector {
-  private asking = false
+  private isProbing = false
   private isolated = false
-  /** Since when the rounds have said otherwise than what is believed, monotonic ms. */
-  private otherwiseSince: number | undefined
-  /** Peers that did not answer a request, to be looked at in the next round. */
-  private readonly suspected = new Set<string>()
-  /** When a silent peer was last told, by this or another process, monotonic ms. */
-  private readonly toldAt = new Map<string, number>()
+  /** Since when the rounds have contradicted `isolated`, in monotonic ms. */
+  private contradictedSince: number | undefined
+  /** Peers that did not answer a request, to be checked in the next round. */
+  private readonly suspects = new Set<string>()
+  /** When a silent peer was last reported, by this or another process, in monotonic ms. */
+  private readonly reportedAt = new Map<string, number>()
 
-  constructor (private readonly ports: PeerWatchPorts) {}
+  constructor (private readonly ports: PeerFailureDetectorPorts) {}
 
   get isIsolated (): boolean {
     return this.isolated
   }
 
-  /** A peer did not answer: asks all of them until it is clear who is cut off. */
+  /** Registers that a peer did not answer; pings all peers until it is clear which process is isolated. */
   suspect (address: string): void {
-    this.suspected.add(address)
-    if (!this.asking) void this.ask()
+    this.suspects.add(address)
+    if (!this.isProbing) void this.probeUntilSettled()
   }
 
-  /** Another process has told that the peer is silent. */
+  /** Registers that another process has reported the peer as silent. */
   noteReportedSilent (address: string): void {
-    this.toldAt.set(address, this.ports.timers.monotonic())
+    this.reportedAt.set(address, this.ports.timers.monotonic())
   }
 
-  private async ask (): Promise<void> {
-    this.asking = true
+  private async probeUntilSettled (): Promise<void> {
+    this.isProbing = true
     do {
-      this.weigh(await this.round())
-      await timerService.sleep(this.ports.timers, roundMs)
-    } while (this.isolated || this.otherwiseSince !== undefined)
-    this.asking = false
+      this.updateIsolation(await this.probePeers())
+      await timerService.sleep(this.ports.timers, roundIntervalMs)
+    } while (this.isolated || this.contradictedSince !== undefined)
+    this.isProbing = false
   }
 
-  private weigh (reachable: boolean): void {
-    if (reachable !== this.isolated) {
-      this.otherwiseSince = undefined
+  private updateIsolation (canReachPeers: boolean): void {
+    if (canReachPeers !== this.isolated) {
+      this.contradictedSince = undefined
       return
     }
     const now = this.ports.timers.monotonic()
-    this.otherwiseSince ??= now
-    if (now - this.otherwiseSince >= (this.isolated ? reachableMs : cutOffMs)) this.change(!this.isolated)
+    this.contradictedSince ??= now
+    if (now - this.contradictedSince >= (this.isolated ? recoveryThresholdMs : isolationThresholdMs)) this.setIsolated(!this.isolated)
   }
 
-  /** Whether enough peers answer. */
-  private async round (): Promise<boolean> {
+  /** Pings all peers, reports the suspects that stay silent, and returns whether enough peers answer. */
+  private async probePeers (): Promise<boolean> {
     const peers = this.ports.peers()
-    const suspected = [...this.suspected]
-    this.suspected.clear()
-    if (peers.length < fewestPeers) return true
+    const suspects = [...this.suspects]
+    this.suspects.clear()
+    if (peers.length < minPeerCount) return true
     const answers = await Promise.all(peers.map((address) => this.ports.ping(address)))
     const silent = peers.filter((_, index) => answers[index] !== true)
-    const reachable = peers.length - silent.length >= peers.length * leastShare
-    if (reachable && !this.isolated) this.tell(suspected.filter((address) => silent.includes(address)))
-    return reachable
+    const canReachPeers = peers.length - silent.length >= peers.length * minReachableShare
+    if (canReachPeers && !this.isolated) this.reportSilent(suspects.filter((address) => silent.includes(address)))
+    return canReachPeers
   }
 
-  private tell (silent: readonly string[]): void {
+  private reportSilent (silent: readonly string[]): void {
     const now = this.ports.timers.monotonic()
     for (const address of silent) {
-      if (now - (this.toldAt.get(address) ?? -Infinity) < tellAgainMs) continue
-      this.toldAt.set(address, now)
-      this.ports.onSilent(address)
+      if (now - (this.reportedAt.get(address) ?? -Infinity) < minReportIntervalMs) continue
+      this.reportedAt.set(address, now)
+      this.ports.onPeerSilent(address)
     }
   }
 
-  private change (isolated: boolean): void {
-    this.isolated = isolated
-    this.otherwiseSince = undefined
-    this.ports.decisions.note({ event: isolated ? 'cutOff' : 'reachable', peers: this.ports.peers().length })
-    this.ports.onChange(isolated)
+  private setIsolated (isIsolated: boolean): void {
+    this.isolated = isIsolated
+    this.contradictedSince = undefined
+    this.ports.decisions.note({ event: isIsolated ? 'cutOff' : 'reachable', peers: this.ports.peers().length })
+    this.ports.onIsolationChanged(isIsolated)
   }
 }
--- a/packages/programs/front/src/peer-listener.ts
+++ b/packages/programs/front/src/peer-listener.ts
@@ -1,4 +1,4 @@
-/** Takes what other front processes pass on: turns, settled ends, and calls to the store. */
+/** Accepts requests of other front processes: forwarded turns and peer calls. */
 import * as http from 'node:http'
 import type * as shardLog from '@eelgrasswind/shard-log'
 import * as shardLogs from '@eelgrasswind/shard-log'
@@ -9,48 +9,48 @@
 import * as inbound from './inbound.js'
 import * as peerCalls from './peer-calls.js'
 import * as readRequest from './read-request.js'
-import type * as requestsUnderWay from './requests-under-way.js'
+import type * as inFlightRequests from './in-flight-requests.js'
 import * as reserveTurn from './reserve-turn.js'
 import * as routeTurn from './route-turn.js'
 import * as serveTurn from './serve-turn.js'
 import * as settleTurn from './settle-turn.js'
 
-/** What it takes to serve peers. */
+/** Dependencies of the peer listener. */
 export interface PeerListenerPorts extends routeTurn.RouteTurnPorts {
-  /** The store as this process itself reaches it. */
+  /** The store without a relay through peers. */
   readonly directLog: shardLog.ShardLog
-  readonly requests: requestsUnderWay.RequestsUnderWay
+  readonly inFlightRequests: inFlightRequests.InFlightRequests
   readonly limits: Pick<accountLimits.AccountLimits, 'countReports'>
 }
 
-const largestHeaderBytes = 131_072
+const maxHeaderBytes = 131_072
 
-/** A server for peers, not yet listening. Times in ms. */
+/** Creates the HTTP server for peers, which does not listen yet. `keepAliveTimeout` in ms. */
 export function createPeerServer (ports: PeerListenerPorts, keepAliveTimeout: number): http.Server {
-  const server = http.createServer({ maxHeaderSize: largestHeaderBytes, requestTimeout: 0, keepAliveTimeout }, (req, res) => { onCall(ports, req, res) })
-  server.on('checkContinue', (req: http.IncomingMessage, res: http.ServerResponse) => { onTurn(ports, req, res) })
+  const server = http.createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0, keepAliveTimeout }, (req, res) => { handleCall(ports, req, res) })
+  server.on('checkContinue', (req: http.IncomingMessage, res: http.ServerResponse) => { handleTurn(ports, req, res) })
   return server
 }
 
-/** A turn: its sender waits for the go-ahead and knows until then that nothing ran. */
-function onTurn (ports: PeerListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
+/** Handles a forwarded turn. Its sender waits for `100 Continue`, and knows until then that the turn has not run. */
+function handleTurn (ports: PeerListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
   const arrivedAt = ports.timers.monotonic()
   const reply = new inbound.Reply(res)
   const forwarded = forwardHeader.decode(req.headers)
   const decoded = ports.dialect.decodeAttempt(req.headers)
   if (forwarded === undefined || decoded.type === 'invalid' || decoded.attempt.turn === undefined) {
-    reply.refuse({ type: 'invalid', field: 'passed-on request', expected: 'a turn with its route' }, ['Connection', 'close'])
+    reply.refuse({ type: 'invalid', field: 'forwarded request', expected: 'a turn with its route' }, ['Connection', 'close'])
     return
   }
   const attempt = accountScope.scopeAttempt(decoded.attempt, forwarded.caller)
   const turn = attempt.turn!
   const shard = routeTurn.findServingShard(ports, turn.program)
   if (shard === undefined) {
-    reply.refuse({ type: 'shardMoving', retryAfterMs: 0 }, [...forwardHeader.notOwner, 'Connection', 'close'])
+    reply.refuse({ type: 'shardMoving', retryAfterMs: 0 }, [...forwardHeader.notOwnerHeaders, 'Connection', 'close'])
     return
   }
   res.writeContinue()
-  ports.requests.add(res, reply, attempt, 'passedOnTurn', arrivedAt)
+  ports.inFlightRequests.add(res, reply, attempt, 'passedOnTurn', arrivedAt)
   readRequest.readBody(req, Infinity, (body) => {
     if (body === undefined) return
     void serveTurn.serveTurn(ports, {
@@ -66,7 +66,7 @@
   })
 }
 
-function onCall (ports: PeerListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
+function handleCall (ports: PeerListenerPorts, req: http.IncomingMessage, res: http.ServerResponse): void {
   const reply = new inbound.Reply(res)
   if (!peerCalls.isPeerCall(req)) {
     reply.refuse({ type: 'unknownRoute' })
--- a/packages/programs/front/src/peer-probe.test.ts
+++ b/packages/programs/front/src/peer-probe.test.ts
@@ -1,20 +1,20 @@
 import tap from 'tap'
 import * as peerProbe from './peer-probe.js'
 
-tap.test('all who wait for a peer share one question', async (t) => {
-  const asked: string[] = []
+tap.test('concurrent probes of a peer share one ping', async (t) => {
+  const pinged: string[] = []
   const probe = new peerProbe.PeerProbe({
     ping: (address) => {
-      asked.push(address)
+      pinged.push(address)
       return Promise.resolve(true)
     }
   })
-  t.same(await Promise.all([probe.lives('a'), probe.lives('a'), probe.lives('b')]), [true, true, true])
-  t.same(asked, ['a', 'b'])
+  t.same(await Promise.all([probe.isAlive('a'), probe.isAlive('a'), probe.isAlive('b')]), [true, true, true])
+  t.same(pinged, ['a', 'b'])
 })
 
-tap.test('a peer that misses one question lives, one that misses two does not', async (t) => {
+tap.test('a peer that misses one ping is alive, one that misses two is not', async (t) => {
   const answers = [false, true, false, false]
   const probe = new peerProbe.PeerProbe({ ping: () => Promise.resolve(answers.shift()!) })
-  t.same([await probe.lives('a'), await probe.lives('a')], [true, false])
+  t.same([await probe.isAlive('a'), await probe.isAlive('a')], [true, false])
 })
--- a/packages/programs/front/src/peer-probe.ts
+++ b/packages/programs/front/src/peer-probe.ts
@@ -1,29 +1,29 @@
-/** Asks a peer whether it lives, once for all that wait for it. */
+/** Checks whether a peer is alive, once for all requests that wait for it. */
 
-/** What it takes to ask. */
+/** Dependencies of `PeerProbe`. */
 export interface PeerProbePorts {
-  /** Whether a peer answers within its time. */
+  /** Whether a peer answers within the ping timeout. */
   readonly ping: (address: string) => Promise<boolean>
 }
 
-/** Requests that wait for the same peer share one question. */
+/** Requests that wait for the same peer share one probe. */
 export class PeerProbe {
-  private readonly asking = new Map<string, Promise<boolean>>()
+  private readonly pendingProbes = new Map<string, Promise<boolean>>()
 
   constructor (private readonly ports: PeerProbePorts) {}
 
-  /** Whether the peer answers; asks once more before it says no, since a busy process may miss one question. */
-  async lives (address: string): Promise<boolean> {
-    const known = this.asking.get(address)
-    if (known !== undefined) return known
-    const answer = this.askTwice(address)
-    this.asking.set(address, answer)
-    const lives = await answer
-    this.asking.delete(address)
-    return lives
+  /** Whether the peer answers; pings it a second time before it returns false, since a busy process may miss one ping. */
+  async isAlive (address: string): Promise<boolean> {
+    const pendingProbe = this.pendingProbes.get(address)
+    if (pendingProbe !== undefined) return pendingProbe
+    const answer = this.pingTwice(address)
+    this.pendingProbes.set(address, answer)
+    const isAlive = await answer
+    this.pendingProbes.delete(address)
+    return isAlive
   }
 
-  private async askTwice (address: string): Promise<boolean> {
+  private async pingTwice (address: string): Promise<boolean> {
     return await this.ports.ping(address) || await this.ports.ping(address)
   }
 }
--- a/packages/programs/front/src/run-front.ts
+++ b/packages/programs/front/src/run-front.ts
@@ -1,4 +1,4 @@
-/** Runs the front process: settings, log lines, metrics, and the signals that end or reload it. */
+/** Runs the front process: settings, logging, metrics, and the signals for shutdown and reload. */
 import * as http from 'node:http'
 import * as decisionLog from '@eelgrasswind/decision-log'
 import * as loggers from '@eelgrasswind/logger'
@@ -12,11 +12,11 @@
 import * as measuredLog from './measured-log.js'
 import * as settings from './settings.js'
 
-/** What the adapter of a platform gives to a process. */
+/** Dependencies that a platform's adapter provides. */
 export interface RunFrontPorts {
   readonly settingsFile: string
   readonly readSettings: () => string
-  /** `--check` checks the settings and ends. */
+  /** `--check` validates the settings and exits. */
   readonly args: readonly string[]
   readonly createLog: (cfg: settings.FrontSettings) => shardLog.ShardLog
   readonly dialect: dialects.Dialect
@@ -27,56 +27,56 @@
   readonly signals: processSignals.ProcessSignals
 }
 
-const exitInvalid = 1
-const exitFailed = 1
-/** The last log lines are given up after this, in ms, where nobody reads them. */
-const flushMs = 200
+const invalidSettingsExitCode = 1
+const failedStopExitCode = 1
+/** Timeout for writing the last log lines at exit, in ms; they are lost if nothing reads them. */
+const flushTimeoutMs = 200
 
-/** Returns once the process takes requests; it then runs until a signal ends it. */
+/** Resolves once the process accepts requests; it then runs until a signal stops it. */
 export async function runFront (ports: RunFrontPorts): Promise<void> {
   const { settingsFile, timers, metrics, lines } = ports
   const parsed = parseSettings.parseSettings(ports.readSettings(), settings.frontSettings, settingsFile)
   if (!parsed.ok) {
     process.stderr.write(`${parseSettings.formatSettingsErrors(parsed.failure)}\n`)
-    process.exit(exitInvalid)
+    process.exit(invalidSettingsExitCode)
   }
   if (ports.args.includes('--check')) {
     process.stdout.write(`${settingsFile}: ok\n`)
     process.exit(0)
   }
   const cfg = parsed.value
-  const logger = loggers.createLogger({ name: 'eelgrasswind-front', host: cfg.host as types.HostId, level: cfg.logLevel, stream: asStream(lines) })
+  const logger = loggers.createLogger({ name: 'eelgrasswind-front', host: cfg.host as types.HostId, level: cfg.logLevel, stream: toStream(lines) })
   const decisions = decisionLog.createDecisionLog({ logger, count: metrics.count, now: timers.monotonic })
-  const log = measuredLog.measuredLog(ports.createLog(cfg), metrics, timers)
-  const running = new front.Front(cfg, { log, dialect: ports.dialect, documents: ports.documents, timers, decisions, settingsFile })
-  addGauges(metrics, running, lines)
+  const log = measuredLog.createMeasuredLog(ports.createLog(cfg), metrics, timers)
+  const frontProcess = new front.Front(cfg, { log, dialect: ports.dialect, documents: ports.documents, timers, decisions, settingsFile })
+  addGauges(metrics, frontProcess, lines)
   if (cfg.metricsAddress !== undefined) serveMetrics(metrics, cfg.metricsAddress)
-  onSignals(ports, running, decisions)
-  await running.start()
+  handleSignals(ports, frontProcess, decisions)
+  await frontProcess.start()
 }
 
-function onSignals (ports: RunFrontPorts, running: front.Front, decisions: decisionLog.DecisionLog): void {
-  const end = async (): Promise<void> => {
+function handleSignals (ports: RunFrontPorts, frontProcess: front.Front, decisions: decisionLog.DecisionLog): void {
+  const shutDown = async (): Promise<void> => {
     let code = 0
     try {
-      await running.stop()
+      await frontProcess.stop()
     } catch (err) {
       decisions.note({ event: 'failedToStop', err })
-      code = exitFailed
+      code = failedStopExitCode
     }
-    await timerService.within(ports.timers, ports.lines.flush(), flushMs)
+    await timerService.within(ports.timers, ports.lines.flush(), flushTimeoutMs)
     process.exit(code)
   }
   ports.signals.handle({
-    end: () => { void end() },
+    end: () => { void shutDown() },
     reload: () => { reload(ports, decisions) },
     ignored: (signal) => { decisions.note({ event: 'signalIgnored', signal }) }
   })
-  // A fault in the handling of one request must not end the others: it is told, and the process goes on.
+  // A bug in the handling of one request must not stop the others: it is logged, and the process keeps running.
   process.on('unhandledRejection', (err) => { decisions.note({ event: 'unexpected', err }) })
 }
 
-/** Addresses and shards can't change in a running process: the new settings are checked now and in force after the next start. */
+/** Addresses and shards can't change in a running process: the new settings are validated now and take effect after a restart. */
 function reload (ports: RunFrontPorts, decisions: decisionLog.DecisionLog): void {
   decisions.note({ event: 'reload', settings: ports.settingsFile, outcome: checkSettings(ports) })
 }
@@ -84,18 +84,18 @@
 function checkSettings (ports: RunFrontPorts): string {
   try {
     const parsed = parseSettings.parseSettings(ports.readSettings(), settings.frontSettings, ports.settingsFile)
-    return parsed.ok ? 'valid, in force after the next start' : parseSettings.formatSettingsErrors(parsed.failure)
+    return parsed.ok ? 'valid, takes effect after a restart' : parseSettings.formatSettingsErrors(parsed.failure)
   } catch (err) {
-    return `not readable: ${(err as Error).message}`
+    return `settings can't be read: ${(err as Error).message}`
   }
 }
 
-function addGauges (metrics: decisionLog.DecisionMetrics, running: front.Front, lines: loggers.BoundedLines): void {
-  metrics.gauge('shards_owned', 'Shards that this process serves.', () => running.servedShardCount)
-  metrics.gauge('requests_under_way', 'Requests that are not answered yet.', () => running.requestsUnderWay)
-  metrics.gauge('routing_version', 'Version of the routing in force; 0 before the first.', () => running.routingVersion)
-  metrics.gauge('upstreams', 'Upstreams that are listed.', () => running.upstreamCount)
-  metrics.gauge('lines_dropped', 'Log lines that were dropped since nobody read them in time.', lines.dropped)
+function addGauges (metrics: decisionLog.DecisionMetrics, frontProcess: front.Front, lines: loggers.BoundedLines): void {
+  metrics.gauge('shards_owned', 'Shards that this process serves.', () => frontProcess.servedShardCount)
+  metrics.gauge('requests_under_way', 'In-flight requests.', () => frontProcess.inFlightRequestCount)
+  metrics.gauge('routing_version', 'Version of the current routing; 0 before the first.', () => frontProcess.routingVersion)
+  metrics.gauge('upstreams', 'Upstreams in the list.', () => frontProcess.upstreamCount)
+  metrics.gauge('lines_dropped', 'Log lines that were dropped because they were not read in time.', lines.dropped)
 }
 
 function serveMetrics (metrics: decisionLog.DecisionMetrics, address: string): void {
@@ -109,13 +109,13 @@
   server.listen(Number(port), host)
 }
 
-function asStream (lines: loggers.BoundedLines): NodeJS.WritableStream {
+function toStream (lines: loggers.BoundedLines): NodeJS.WritableStream {
   const stream: Pick<NodeJS.WritableStream, 'write'> = {
     write: (line: string | Uint8Array) => {
       lines.write(String(line))
       return true
     }
   }
-  // The logger only ever calls write.
+  // The logger only calls `write`.
   return stream as NodeJS.WritableStream
 }
--- a/packages/programs/front/src/upstream-directory.test.ts
+++ b/packages/programs/front/src/upstream-directory.test.ts
@@ -7,50 +7,50 @@
 
 const service = 'engines' as types.ServiceId
 
-/** Entries are texts: "born/state", or anything else, which can't be read. */
+/** Entries are texts of the form "incarnation/state"; anything else can't be decoded. */
 function decode (key: string, value: Uint8Array): trackUpstreams.ListedUpstream {
-  const [born, state] = Buffer.from(value).toString().split('/')
+  const [incarnation, state] = Buffer.from(value).toString().split('/')
   if (state === undefined) throw new Error('no state')
-  return { id: `${key}@${born}` as types.UpstreamId, name: key, service, address: `${key}:1`, slots: 6, leaving: state === 'leaving' }
+  return { id: `${key}@${incarnation}` as types.UpstreamId, name: key, service, address: `${key}:1`, slots: 6, leaving: state === 'leaving' }
 }
 
-function fixture (sinceReturnMs = Infinity) {
+function fixture (sinceRecoveryMs = Infinity) {
   const timers = timerService.createManualTimers()
   const upstreams = new trackUpstreams.UpstreamList()
-  const noted: decisionLog.Decision[] = []
-  const directory = new upstreamDirectory.UpstreamDirectory({ upstreams, timers, decisions: { note: (decision) => { noted.push(decision) } }, decode, sinceRecoveryMs: () => sinceReturnMs })
+  const decisions: decisionLog.Decision[] = []
+  const directory = new upstreamDirectory.UpstreamDirectory({ upstreams, timers, decisions: { note: (decision) => { decisions.push(decision) } }, decode, sinceRecoveryMs: () => sinceRecoveryMs })
   const put = (key: string, text: string): void => { directory.put(key, Buffer.from(text)) }
   const ids = (): string[] => upstreams.getByService(service).map(({ listed }) => listed.id)
-  return { timers, upstreams, noted, directory, put, ids }
+  return { timers, upstreams, decisions, directory, put, ids }
 }
 
-tap.test('an upstream that starts again under its name begins anew', (t) => {
+tap.test('an upstream that restarts under its name has no load and no failures', (t) => {
   const { upstreams, put, ids } = fixture()
   put('a', '1/ready')
-  const former = upstreams.get('a@1' as types.UpstreamId)!
-  former.running = 5
-  trackUpstreams.noteFailure(former, 0)
+  const previous = upstreams.get('a@1' as types.UpstreamId)!
+  previous.running = 5
+  trackUpstreams.noteFailure(previous, 0)
   put('a', '2/ready')
   t.same(ids(), ['a@2'])
   t.match(upstreams.get('a@2' as types.UpstreamId), { running: 0, failures: 0, avoidUntil: 0 })
   t.end()
 })
 
-tap.test('an entry that can not be read names no upstream, is told once, and the others hold', (t) => {
-  const { noted, put, ids, directory } = fixture()
+tap.test('an entry that can not be decoded removes its upstream, is logged once, and leaves the others', (t) => {
+  const { decisions, put, ids, directory } = fixture()
   put('a', '1/ready')
   put('b', '1/ready')
-  for (let at = 0; at < 5; at += 1) put('a', 'garbage')
+  for (let index = 0; index < 5; index += 1) put('a', 'garbage')
   put('c', 'garbage')
   t.same(ids(), ['b@1'])
-  t.equal(noted.filter(({ event }) => event === 'upstreamUnreadable').length, 2)
+  t.equal(decisions.filter(({ event }) => event === 'upstreamUnreadable').length, 2)
   put('a', '1/ready')
   directory.replace(new Map([['a', Buffer.from('1/leaving')], ['b', Buffer.from('what')]]))
   t.same(ids(), ['a@1'])
   t.end()
 })
 
-tap.test('an entry that lapsed in an outage has time to return, an incarnation that was replaced has none', (t) => {
+tap.test('an entry that expired in an outage has a grace period, an incarnation that was replaced has none', (t) => {
   const { timers, put, ids, directory } = fixture(500)
   put('a', '1/ready')
   put('b', '1/ready')
--- a/packages/programs/front/src/upstream-directory.ts
+++ b/packages/programs/front/src/upstream-directory.ts
@@ -1,112 +1,113 @@
-/** Keeps the list of upstreams as the store tells it, through outages of the store. */
+/** Maintains the list of upstreams from its entries in the store, also through outages of the store. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as trackUpstreams from '@eelgrasswind/track-upstreams'
 import type * as types from '@eelgrasswind/types'
 
-/** What the directory needs from its process. */
+/** Dependencies of `UpstreamDirectory`. */
 export interface DirectoryPorts {
   readonly upstreams: trackUpstreams.UpstreamList
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
+  /** Throws if the value is not a valid entry. */
   readonly decode: (key: string, value: Uint8Array) => trackUpstreams.ListedUpstream
-  /** Time since the store came back from an outage, in ms; infinite where there was none. */
+  /** Time since the store recovered from an outage, in ms; infinite if there was none. */
   readonly sinceRecoveryMs: () => number
 }
 
-/** Entries that lapsed while the store was away have this long to return, in ms; the store's users promise about two seconds. */
-const returnGraceMs = 2_500
+/** Grace period for entries that expired during an outage of the store to be written again, in ms; their writers promise about two seconds. */
+const recoveryGraceMs = 2_500
 
-/** Unreadable entries that are remembered; some thousand times what was ever seen at once. */
-const mostUnreadable = 1_000
+/** Maximum number of unreadable entries that are remembered: some thousand times the number that was ever seen at once. */
+const maxUnreadableEntries = 1_000
 
-/** Applies the changes of the list, but gives entries that an outage removed time to return. Keys are those of the list. */
+/** Applies changes of the list, with a grace period for entries that an outage removed. Keys are those of the entries. */
 export class UpstreamDirectory {
-  private readonly missing = new Map<string, timerService.Subscription>()
-  /** The incarnation that each entry names. */
+  private readonly pendingRemovals = new Map<string, timerService.Subscription>()
+  /** The upstream incarnation that each entry names. */
   private readonly incarnations = new Map<string, types.UpstreamId>()
-  /** Why the entries that can't be read can't, so that each is told once. */
-  private readonly unreadable = new Map<string, string>()
-  private complete = false
+  /** The error of each entry that can't be decoded, so that each is logged once. */
+  private readonly decodeErrors = new Map<string, string>()
+  private hasLoaded = false
 
   constructor (private readonly ports: DirectoryPorts) {}
 
-  /** True once the whole list was read. */
+  /** True once the complete list has been read. */
   get isLoaded (): boolean {
-    return this.complete
+    return this.hasLoaded
   }
 
-  /** The whole list: what it lacks is gone. */
-  replace (found: ReadonlyMap<string, Uint8Array>): void {
-    for (const [key, value] of found) this.put(key, value)
+  /** Applies the complete list: entries that it lacks are removed. */
+  replace (entries: ReadonlyMap<string, Uint8Array>): void {
+    for (const [key, value] of entries) this.put(key, value)
     for (const key of [...this.incarnations.keys()]) {
-      if (!found.has(key)) this.remove(key)
+      if (!entries.has(key)) this.remove(key)
     }
-    this.complete = true
+    this.hasLoaded = true
   }
 
   put (key: string, value: Uint8Array): void {
     const listed = this.decode(key, value)
     if (listed === undefined) return
-    this.keep(key)
+    this.cancelRemoval(key)
     const { upstreams, decisions } = this.ports
-    const former = this.incarnations.get(key)
-    if (former !== undefined && former !== listed.id) this.forget(key)
-    const known = upstreams.get(listed.id)
+    const previousId = this.incarnations.get(key)
+    if (previousId !== undefined && previousId !== listed.id) this.removeNow(key)
+    const existing = upstreams.get(listed.id)
     upstreams.put(listed)
     this.incarnations.set(key, listed.id)
-    if (known !== undefined && known.listed.leaving === listed.leaving) return
+    if (existing !== undefined && existing.listed.leaving === listed.leaving) return
     decisions.note({ event: 'upstream', upstream: listed.id, service: listed.service, address: listed.address, leaving: listed.leaving })
   }
 
   remove (key: string): void {
-    this.unreadable.delete(key)
+    this.decodeErrors.delete(key)
     const id = this.incarnations.get(key)
-    const { timers, decisions, sinceRecoveryMs: sinceReturnMs } = this.ports
-    if (id === undefined || this.missing.has(key)) return
-    const graceMs = Math.max(0, returnGraceMs - sinceReturnMs())
+    const { timers, decisions, sinceRecoveryMs } = this.ports
+    if (id === undefined || this.pendingRemovals.has(key)) return
+    const graceMs = Math.max(0, recoveryGraceMs - sinceRecoveryMs())
     decisions.note({ event: 'upstreamGone', upstream: id, graceMs: Math.round(graceMs) })
     if (graceMs === 0) {
-      this.forget(key)
+      this.removeNow(key)
       return
     }
-    this.missing.set(key, timers.after(graceMs, () => {
-      this.missing.delete(key)
-      this.forget(key)
+    this.pendingRemovals.set(key, timers.after(graceMs, () => {
+      this.pendingRemovals.delete(key)
+      this.removeNow(key)
     }))
   }
 
-  /** An entry that can't be read names no upstream to use, whatever it named before; the others hold. */
+  /** An entry that can't be decoded removes the upstream that it named before; other entries are unaffected. */
   private decode (key: string, value: Uint8Array): trackUpstreams.ListedUpstream | undefined {
     try {
       const listed = this.ports.decode(key, value)
-      this.unreadable.delete(key)
+      this.decodeErrors.delete(key)
       return listed
     } catch (err) {
-      this.keep(key)
-      this.forget(key)
-      this.tellUnreadable(key, err)
+      this.cancelRemoval(key)
+      this.removeNow(key)
+      this.logUnreadable(key, err)
       return undefined
     }
   }
 
-  private tellUnreadable (key: string, err: unknown): void {
+  private logUnreadable (key: string, err: unknown): void {
     const reason = String(err)
-    if (this.unreadable.get(key) === reason) return
-    if (this.unreadable.size >= mostUnreadable) this.unreadable.clear()
-    this.unreadable.set(key, reason)
+    if (this.decodeErrors.get(key) === reason) return
+    if (this.decodeErrors.size >= maxUnreadableEntries) this.decodeErrors.clear()
+    this.decodeErrors.set(key, reason)
     this.ports.decisions.note({ event: 'upstreamUnreadable', key, err })
   }
 
-  private forget (key: string): void {
+  private removeNow (key: string): void {
     const id = this.incarnations.get(key)
     if (id === undefined) return
     this.incarnations.delete(key)
     this.ports.upstreams.remove(id)
   }
 
-  private keep (key: string): void {
-    this.missing.get(key)?.cancel()
-    this.missing.delete(key)
+  private cancelRemoval (key: string): void {
+    this.pendingRemovals.get(key)?.cancel()
+    this.pendingRemovals.delete(key)
   }
 }
