--- a/packages/programs/front/src/client-listener.ts
+++ b/packages/programs/front/src/client-listener.ts
@@ -22,13 +22,13 @@
 }
 
 /** Node.js refuses larger headers, in bytes, before the limit of the routing is checked. */
-const maxHeaderBytes = 65_536
+const serverMaxHeaderBytes = 65_536
 /** Idle client connections are kept open for the published timeout times this factor, so that raising the timeout disconnects no client. */
 const keepAliveFactor = 1.5
 
 /** Creates the HTTP server for clients, which does not listen yet. */
 export function createClientServer (ports: ClientListenerPorts): http.Server {
-  return http.createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => { handleRequest(ports, req, res) })
+  return http.createServer({ maxHeaderSize: serverMaxHeaderBytes, requestTimeout: 0 }, (req, res) => { handleRequest(ports, req, res) })
 }
 
 /** Applies the timeouts of a routing to the client connections. */
--- a/packages/programs/front/src/dialect.ts
+++ b/packages/programs/front/src/dialect.ts
@@ -8,7 +8,7 @@
 /** The fields of a turn, one request to a model in a program's series of requests. */
 export interface TurnFields {
   readonly program: types.ProgramId
-  /** The turn that this one continues; `undefined` for the first turn of a program. */
+  /** The turn that this one continues; `undefined` if it continues none. */
   readonly previous: turnLedger.TurnId | undefined
   /** Tokens of the whole prompt; 0 if the client does not say. */
   readonly promptTokens: number
@@ -68,7 +68,7 @@
   /** Reads the key of a request; more than one key counts as unreadable. */
   readonly presentedKey: (raw: readonly string[]) => identifyClient.PresentedKey
   readonly decodeAttempt: (headers: http.IncomingHttpHeaders) => DecodedAttempt
-  /** Headers of a request to an upstream: the client's end-to-end headers, except that the system sets its own headers itself. */
+  /** Headers of a request to an upstream: the client's end-to-end headers without those that the system sets, and the system's own. */
   readonly upstreamHeaders: (raw: readonly string[], fields: UpstreamFields) => string[]
   /** Headers of a request that is forwarded to a peer, which decodes them as this process did. */
   readonly peerHeaders: (raw: readonly string[], fields: { readonly deadlineMs: number, readonly bodyBytes: number, readonly caller: identifyClient.Caller }) => string[]
--- a/packages/programs/front/src/index.ts
+++ b/packages/programs/front/src/index.ts
@@ -1,4 +1,4 @@
-/** The process on the entry hosts: takes HTTP requests, routes them, and owns a share of the programs. */
+/** The front process on the entry hosts: accepts HTTP requests, routes them to upstreams, and owns a share of the programs. */
 export * from './dialect.js'
 export * from './front.js'
 export * from './run-front.js'
--- a/packages/programs/front/src/peer-calls.ts
+++ b/packages/programs/front/src/peer-calls.ts
@@ -62,7 +62,7 @@
   /** None of these shards contains the turn, as the store has confirmed. */
   | { readonly type: 'absent', readonly partitions: readonly shardLog.PartitionName[] }
 
-/** Relays a store call of a process that the store does not serve directly. */
+/** Relays a store call of a process that the store does not serve itself. */
 export interface RelayCall {
   readonly type: 'store'
   readonly call: shardLog.StoreCall
