--- a/packages/state/append-journal/src/heads.ts
+++ b/packages/state/append-journal/src/heads.ts
@@ -3,7 +3,7 @@
 import * as types from '@eelgrasswind/types'
 
 /** A program's place in its chain, and where its records are. */
-export interface HeadPoint extends programState.ChainPoint {
+export interface HeadPoint extends programState.ChainHead {
   /** Position of the begin or snapshot that the state starts from. */
   readonly base: types.Term
   /** Log time of that record. */
@@ -12,24 +12,24 @@
   readonly offsets: types.LogOffset[]
 }
 
-type HeadChain = programState.Chain<HeadPoint>
+type HeadChain = programState.ChainView<HeadPoint>
 
 /** Programs looked at for each record, whether they may be forgotten: so that the cost does not grow with their number. */
 const sweptPerRecord = 2
 
-const headRules: programState.PointRules<HeadPoint> = {
-  begin: (record, position, at) => baseOf(programState.firstPoint(record, position, at), position, at),
-  restore: (record, position, at) => baseOf(programState.restoredPoint(record, position, at), position, at),
-  apply: (point, record, position) => {
-    if (record.type === 'snapshot') Object.assign(point, baseOf(point, position, point.lastAt))
-    else addOffset(point.offsets, types.offsetOf(position))
+const headRules: programState.HeadHandlers<HeadPoint> = {
+  createFromBegin: (record, position, at) => baseOf(programState.createHeadFromBegin(record, position, at), position, at),
+  createFromSnapshot: (record, position, at) => baseOf(programState.createHeadFromSnapshot(record, position, at), position, at),
+  applyContent: (head, record, position) => {
+    if (record.type === 'snapshot') Object.assign(head, baseOf(head, position, head.lastAppliedAt))
+    else addOffset(head.offsets, types.offsetOf(position))
     return programState.applied
   }
 }
 
 /** Member by member, as a spread makes objects that take half as much memory again. */
-function baseOf ({ term, n, home, finished, lastAt, isComplete: complete }: programState.ChainPoint, position: types.Term, at: types.EpochMs): HeadPoint {
-  return { term, n, home, finished, lastAt, isComplete: complete, base: position, baseAt: at, offsets: [types.offsetOf(position)] }
+function baseOf ({ term, n, home, finished, lastAppliedAt, isComplete }: programState.ChainHead, position: types.Term, at: types.EpochMs): HeadPoint {
+  return { term, n, home, finished, lastAppliedAt, isComplete, base: position, baseAt: at, offsets: [types.offsetOf(position)] }
 }
 
 function addOffset (offsets: types.LogOffset[], offset: types.LogOffset): void {
@@ -46,12 +46,12 @@
     return this.chains.size
   }
 
-  apply (record: types.JournalRecord, position: types.Term, reading: programState.Reading): programState.Effect {
+  apply (record: types.JournalRecord, position: types.Term, context: programState.ReadContext): programState.Effect {
     const known = this.chains.get(record.program)
-    const { chain, effect } = programState.applyToChain(known, record, position, reading, headRules)
+    const { chain, effect } = programState.applyToChain(known, record, position, context, headRules)
     if (known === undefined && chain !== undefined) this.chains.set(record.program, chain)
     if (chain?.current !== undefined) chain.current.home = this.shareHome(chain.current.home)
-    this.sweep(reading)
+    this.sweep(context)
     return effect
   }
 
@@ -67,13 +67,13 @@
   /** One object for all programs of a home, as each record brings its own. */
   private shareHome (home: types.ProcessRef): types.ProcessRef {
     const known = this.homes.get(home.host)
-    if (known !== undefined && programState.sameProcess(known, home)) return known
+    if (known !== undefined && programState.isSameProcess(known, home)) return known
     this.homes.set(home.host, home)
     return home
   }
 
   /** Forgets some of the programs whose ids are free again; every reader treats them as if they had never been. */
-  private sweep (reading: programState.Reading): void {
+  private sweep (context: programState.ReadContext): void {
     for (let count = 0; count < sweptPerRecord; count += 1) {
       const entry = this.unswept.next()
       if (entry.done === true) {
@@ -81,12 +81,12 @@
         return
       }
       const [program, chain] = entry.value
-      if (isForgotten(chain, reading)) this.chains.delete(program)
+      if (isForgotten(chain, context)) this.chains.delete(program)
     }
   }
 }
 
-function isForgotten (chain: HeadChain, reading: programState.Reading): boolean {
-  if (chain.current !== undefined) return programState.mayBeginAgain(chain.current, reading)
-  return reading.at - (chain.seenAt ?? reading.at) >= reading.rules.idleMs
+function isForgotten (chain: HeadChain, context: programState.ReadContext): boolean {
+  if (chain.current !== undefined) return programState.canBeginAgain(chain.current, context)
+  return context.at - (chain.lastSeenAt ?? context.at) >= context.rules.idleTimeoutMs
 }
--- a/packages/state/append-journal/src/journal.ts
+++ b/packages/state/append-journal/src/journal.ts
@@ -40,7 +40,7 @@
 }
 
 /** Where a program's chain stands. */
-export type Head = Readonly<Pick<programState.ChainPoint, 'term' | 'n' | 'home' | 'finished'>>
+export type Head = Readonly<Pick<programState.ChainHead, 'term' | 'n' | 'home' | 'finished'>>
 
 export interface Journal {
   shardOf: (program: types.ProgramId) => number
@@ -95,8 +95,8 @@
 
 /** When an id may be begun again, from the times of the options. */
 export function foldRulesOf (retentionMs: number, finishedMs: number): programState.FoldRules {
-  const idleMs = retentionMs * idleShare
-  return { idleMs, reuseMs: Math.min(finishedMs, idleMs) }
+  const idleTimeoutMs = retentionMs * idleShare
+  return { idleTimeoutMs, reuseDelayMs: Math.min(finishedMs, idleTimeoutMs) }
 }
 
 class LogJournal implements Journal {
--- a/packages/state/append-journal/src/load-program.ts
+++ b/packages/state/append-journal/src/load-program.ts
@@ -53,7 +53,7 @@
 
 /** Folds records of which the first is a begin or snapshot that took effect. */
 function foldFromBase ([base, ...later]: readonly PlacedRecord[]): programState.ProgramView | undefined {
-  let view = base && programState.viewFrom(base.record, base.position, base.at)
+  let view = base && programState.createViewFromBase(base.record, base.position, base.at)
   for (const { record, position, at } of later) {
     view = programState.applyRecord(view, record, position, { ...programState.wholeStream, at }).view
   }
--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -74,7 +74,7 @@
 
   async act (writer: Writer, program: types.ProgramId, act: Step['act']): Promise<void> {
     const state = writer.states.get(program)
-    const own = state !== undefined && programState.sameProcess(state.home, writer.home) ? state : undefined
+    const own = state !== undefined && programState.isSameProcess(state.home, writer.home) ? state : undefined
     const at = this.timers.now()
     switch (act) {
       case 'begin':
@@ -139,7 +139,7 @@
       const batch = programState.parseBatch(data)
       if (!batch.ok) throw new Error(batch.failure.message)
       for (const [index, record] of batch.value.records.entries()) {
-        const { view, effect } = programState.applyRecord(views.get(record.program), record, types.positionOf(offset, index), { at, since: undefined, rules })
+        const { view, effect } = programState.applyRecord(views.get(record.program), record, types.positionOf(offset, index), { at, coveredSince: undefined, rules })
         if (view !== undefined) views.set(record.program, view)
         const text = programState.encodeRecord(record)
         if (effect.type === 'applied' || !effects.has(text)) effects.set(text, effect)
@@ -177,7 +177,7 @@
     return
   }
   if (result.value === undefined) {
-    assert.ok(truth === undefined || timers.now() - truth.lastAt >= retentionMs * 0.75)
+    assert.ok(truth === undefined || timers.now() - truth.lastAppliedAt >= retentionMs * 0.75)
     return
   }
   counts.loaded += 1
--- a/packages/state/append-journal/src/shard-fold.ts
+++ b/packages/state/append-journal/src/shard-fold.ts
@@ -23,7 +23,7 @@
   /** Log time of the newest record. */
   newestAt = 0 as types.EpochMs
   /** No record that this process has not read is younger, by the log's clock; undefined where it has read all there ever were. */
-  private since: types.EpochMs | undefined
+  private coveredSince: types.EpochMs | undefined
   /** Own records that may land, or have landed, and whose writers don't know it. */
   private readonly expected = new Map<types.ProgramId, pendings.PendingRecord[]>()
 
@@ -32,9 +32,9 @@
   /** Folds the records of the log record at `next`. */
   fold (at: types.EpochMs, records: readonly types.JournalRecord[]): void {
     const offset = this.next
-    if (this.since !== undefined && at < this.since) this.since = at
-    const reading = { at, since: this.since, rules: this.options.rules }
-    for (const [index, record] of records.entries()) this.foldRecord(record, types.positionOf(offset, index), reading)
+    if (this.coveredSince !== undefined && at < this.coveredSince) this.coveredSince = at
+    const context = { at, coveredSince: this.coveredSince, rules: this.options.rules }
+    for (const [index, record] of records.entries()) this.foldRecord(record, types.positionOf(offset, index), context)
     this.newestAt = at
     this.next = offset + 1 as types.LogOffset
     this.options.counters.recordsFolded += records.length
@@ -49,7 +49,7 @@
     const lost = [...this.locals.keys()]
     this.locals.clear()
     this.next = offset
-    this.since = expiredBefore
+    this.coveredSince = expiredBefore
     for (const program of lost) this.options.onSuperseded(program)
   }
 
@@ -89,12 +89,12 @@
     return this.expected.get(record.program)?.find((pending) => pendings.samePlace(pending.record, record) && pending.text !== text && pendings.mayHoldPlace(pending))
   }
 
-  private foldRecord (record: types.JournalRecord, position: types.Term, reading: programState.Reading): void {
-    const chainEffect = this.heads.apply(record, position, reading)
+  private foldRecord (record: types.JournalRecord, position: types.Term, context: programState.ReadContext): void {
+    const chainEffect = this.heads.apply(record, position, context)
     const own = this.matchExpected(record)
     const isLocal = this.locals.has(record.program)
-    const effect = isLocal ? this.foldLocal(record, position, reading, own !== undefined) : chainEffect
-    if (own !== undefined && !isLocal && effect.type === 'applied') this.keepBegun(record, position, reading.at)
+    const effect = isLocal ? this.foldLocal(record, position, context, own !== undefined) : chainEffect
+    if (own !== undefined && !isLocal && effect.type === 'applied') this.keepBegun(record, position, context.at)
     if (own !== undefined) pendings.noteCopy(own, position, effect)
   }
 
@@ -104,10 +104,10 @@
   }
 
   /** The effect on a local program, which judges the content too. */
-  private foldLocal (record: types.JournalRecord, position: types.Term, reading: programState.Reading, own: boolean): programState.Effect {
+  private foldLocal (record: types.JournalRecord, position: types.Term, context: programState.ReadContext, own: boolean): programState.Effect {
     const { program } = record
     const known = this.locals.get(program)
-    const { effect } = programState.applyRecord(known, record, position, reading)
+    const { effect } = programState.applyRecord(known, record, position, context)
     if (effect.type === 'incomplete') this.options.logger.error({ program, position }, 'a record contradicts the state of its program')
     const taken = effect.type === 'applied' && (record.type === 'claim' || record.type === 'begin') && !own
     if (taken || effect.type === 'incomplete') this.drop(program)
@@ -115,7 +115,7 @@
   }
 
   private keepBegun (record: types.JournalRecord, position: types.Term, at: types.EpochMs): void {
-    const view = record.type === 'begin' ? programState.viewFrom(record, position, at) : undefined
+    const view = record.type === 'begin' ? programState.createViewFromBase(record, position, at) : undefined
     if (view !== undefined) this.keep(record.program, view)
   }
 
--- a/packages/state/program-state/src/chain.ts
+++ b/packages/state/program-state/src/chain.ts
@@ -1,206 +1,207 @@
 /**
- * The chain rule: which records of a program take effect, whatever they contain.
+ * Decides which records of a program take effect, by their sequence number and term alone.
  *
- * A record takes effect only if its `n` is the next one and its `term` the current one. A begin, a claim
- * and a snapshot make their own position the new term. So a record that bears a term proves that its writer
- * knew that position and had seen it take effect, and a reader that starts in the middle of a stream trusts
- * a begin or a snapshot as soon as a later record bears its position as the term.
+ * A record takes effect only if its `n` is the next sequence number and its `term` the current term. A begin,
+ * a claim and a snapshot make their own position the new term. So a record with a given term proves that its
+ * writer had read the record at that position and seen it take effect. A reader that starts in the middle of a
+ * stream therefore trusts a begin or a snapshot as soon as a later record has its position as the term.
  */
 import type * as types from '@eelgrasswind/types'
 import * as effects from './effect.js'
 
-/** Every record but a program's first. */
+/** Any record except the begin, which is a program's first. */
 export type LaterRecord = Exclude<types.JournalRecord, types.BeginRecord>
 
-/** Times after which an id may be begun again; the same in every process. */
+/** When a program id may be used again, by the log's clock. Must be the same in every process. */
 export interface FoldRules {
-  /** A program without any record for so long is gone, in milliseconds of log time. Homes write a snapshot well before that. */
-  readonly idleMs: number
-  /** A finished program's id may be begun again after so long, in milliseconds of log time; at most idleMs. */
-  readonly reuseMs: number
+  /** A program with no record for this long counts as abandoned, in milliseconds. Homes write a snapshot well before that. */
+  readonly idleTimeoutMs: number
+  /** How long after its finish a program's id may be begun again, in milliseconds; at most `idleTimeoutMs`. */
+  readonly reuseDelayMs: number
 }
 
-/** Where and how a record was read. */
-export interface Reading {
-  /** When the log took the record, by the log's clock. */
+/** The circumstances in which a record was read. */
+export interface ReadContext {
+  /** When the log appended the record, by the log's clock. */
   readonly at: types.EpochMs
-  /** Log time of the oldest record that this reader has read of the stream; undefined if it began with the first one ever. */
-  readonly since: types.EpochMs | undefined
+  /** Log time of the oldest record of the stream that this reader has read; undefined if it has read the stream from its first record. */
+  readonly coveredSince: types.EpochMs | undefined
   readonly rules: FoldRules
 }
 
-/** A reader of a whole stream, without a rule on time. */
-export const wholeStream: Reading = {
+/** Context of a reader that reads the stream from its first record, with no time limits. */
+export const wholeStream: ReadContext = {
   at: 0 as types.EpochMs,
-  since: undefined,
-  rules: { idleMs: Infinity, reuseMs: Infinity }
+  coveredSince: undefined,
+  rules: { idleTimeoutMs: Infinity, reuseDelayMs: Infinity }
 }
 
-/** A begin counts only if the log took it within this part of reuseMs, so that no late copy restarts a finished program. */
-const beginDelayShare = 0.25
-/** Unconfirmed begins and snapshots kept for each program. */
+/** A begin is valid only if the log appended it within this share of `reuseDelayMs`, so that a delayed duplicate can't restart a finished program. */
+const maxBeginDelayRatio = 0.25
+/** Most unconfirmed begins and snapshots kept for each program. */
 const maxCandidates = 16
-/** Shared by all programs that have no candidates, as most. */
-const none: readonly never[] = []
+/** Shared by all programs without candidates, which are most, to save memory. */
+const noCandidates: readonly never[] = []
 
-/** A place in a program's chain. Owned by the fold, which changes it in place. */
-export interface ChainPoint {
-  /** Fencing number of the home. */
+/** The current end of a program's chain of records. Owned by the fold, which mutates it. */
+export interface ChainHead {
+  /** Fencing token of the home. */
   term: types.Term
-  /** Place of the last record that took effect. */
+  /** Sequence number of the last record that took effect. */
   n: number
+  /** The process that owns the program. */
   home: types.ProcessRef
   finished: types.FinishResult | null
   /** Log time of the last record that took effect. */
-  lastAt: types.EpochMs
-  /** Whether this is known to equal the fold from the program's begin. */
+  lastAppliedAt: types.EpochMs
+  /** Whether this is known to equal the result of folding all records from the program's begin. */
   isComplete: boolean
 }
 
-/** What a reader knows of one program. Owned by the fold, which changes it in place. */
-export interface Chain<P extends ChainPoint> {
+/** What a reader knows about one program. Owned by the fold, which mutates it. */
+export interface ChainView<P extends ChainHead> {
   readonly program: types.ProgramId
-  /** The current place; undefined while the reader can't know it. */
+  /** The current head; undefined while the reader can't know it. */
   current: P | undefined
-  /** Begins and snapshots that no later record has confirmed, oldest first; empty once there is a current place. */
+  /** Heads from begins and snapshots that no later record has confirmed, oldest first; empty once `current` is known. */
   candidates: readonly P[]
-  /** Log time of the last record seen of the program, with or without effect; undefined before the first. */
-  seenAt: types.EpochMs | undefined
+  /** Log time of the last record read of the program, with or without effect; undefined before the first. */
+  lastSeenAt: types.EpochMs | undefined
 }
 
-/** What a place carries besides the chain; one kind for the state of a program, another for an index. */
-export interface PointRules<P extends ChainPoint> {
-  readonly begin: (record: types.BeginRecord, position: types.Term, at: types.EpochMs) => P
-  readonly restore: (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs) => P
-  /** Applies the content of a record that the chain has taken; its place stays taken whatever this answers. */
-  readonly apply: (point: P, record: LaterRecord, position: types.Term) => effects.Effect
+/** Creates and updates heads that carry more data than `ChainHead`: the state of a program, or an index entry. */
+export interface HeadHandlers<P extends ChainHead> {
+  readonly createFromBegin: (record: types.BeginRecord, position: types.Term, at: types.EpochMs) => P
+  readonly createFromSnapshot: (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs) => P
+  /** Applies the content of a record that is next in the chain. The head has advanced to the record, whatever effect this returns. */
+  readonly applyContent: (head: P, record: LaterRecord, position: types.Term) => effects.Effect
 }
 
-export interface ChainStep<P extends ChainPoint> {
-  /** Undefined while nothing is known of the program. */
-  readonly chain: Chain<P> | undefined
+export interface ChainResult<P extends ChainHead> {
+  /** Undefined while nothing is known about the program. */
+  readonly chain: ChainView<P> | undefined
   readonly effect: effects.Effect
 }
 
-/** The chain fields of a program's first record. */
-export function firstPoint (record: types.BeginRecord, position: types.Term, at: types.EpochMs): ChainPoint {
-  return { term: position, n: 1, home: record.home, finished: null, lastAt: at, isComplete: false }
+/** Creates the chain fields from a program's first record. */
+export function createHeadFromBegin (record: types.BeginRecord, position: types.Term, at: types.EpochMs): ChainHead {
+  return { term: position, n: 1, home: record.home, finished: null, lastAppliedAt: at, isComplete: false }
 }
 
-/** The chain fields of a snapshot. */
-export function restoredPoint (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs): ChainPoint {
+/** Creates the chain fields from a snapshot. */
+export function createHeadFromSnapshot (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs): ChainHead {
   const { home, finished } = record.state
-  return { term: position, n: record.n, home, finished, lastAt: at, isComplete: false }
+  return { term: position, n: record.n, home, finished, lastAppliedAt: at, isComplete: false }
 }
 
-/** Applies one record to what is known of its program. Changes `chain` in place. */
-export function applyToChain<P extends ChainPoint> (
-  chain: Chain<P> | undefined, record: types.JournalRecord, position: types.Term, reading: Reading, rules: PointRules<P>
-): ChainStep<P> {
-  if (chain === undefined && record.type !== 'begin' && reading.since === undefined) {
-    return { chain, effect: effects.voided('unknownProgram') }
+/** Applies one record to what is known about its program. Mutates `chain`; throws if it belongs to another program. */
+export function applyToChain<P extends ChainHead> (
+  chain: ChainView<P> | undefined, record: types.JournalRecord, position: types.Term, context: ReadContext, handlers: HeadHandlers<P>
+): ChainResult<P> {
+  if (chain === undefined && record.type !== 'begin' && context.coveredSince === undefined) {
+    return { chain, effect: effects.createVoidEffect('unknownProgram') }
   }
-  const seen = chain ?? { program: record.program, current: undefined, candidates: none, seenAt: undefined }
-  if (seen.program !== record.program) throw new Error(`a record of ${record.program} came to ${seen.program}`)
+  const view = chain ?? { program: record.program, current: undefined, candidates: noCandidates, lastSeenAt: undefined }
+  if (view.program !== record.program) throw new Error(`record of program ${record.program} applied to the chain of program ${view.program}`)
   const effect = record.type === 'begin'
-    ? begin(seen, record, position, reading, rules)
-    : follow(seen, record, position, reading, rules)
+    ? applyBegin(view, record, position, context, handlers)
+    : applyLater(view, record, position, context, handlers)
   if (chain === undefined && effect.type === 'void') return { chain, effect }
-  seen.seenAt = reading.at
-  return { chain: seen, effect }
+  view.lastSeenAt = context.at
+  return { chain: view, effect }
 }
 
-function begin<P extends ChainPoint> (
-  chain: Chain<P>, record: types.BeginRecord, position: types.Term, reading: Reading, rules: PointRules<P>
+function applyBegin<P extends ChainHead> (
+  chain: ChainView<P>, record: types.BeginRecord, position: types.Term, context: ReadContext, handlers: HeadHandlers<P>
 ): effects.Effect {
-  if (isStale(record, reading)) return effects.voided('staleBegin')
+  if (isStaleBegin(record, context)) return effects.createVoidEffect('staleBegin')
   const { current } = chain
-  if (current !== undefined && !mayBeginAgain(current, reading)) return effects.voided(whyNoBegin(current, record))
-  const point = rules.begin(record, position, reading.at)
-  if (current === undefined && !nothingBefore(chain, reading)) {
-    addCandidate(chain, point)
+  if (current !== undefined && !canBeginAgain(current, context)) return effects.createVoidEffect(getBeginVoidReason(current, record))
+  const head = handlers.createFromBegin(record, position, context.at)
+  if (current === undefined && !hasNoEarlierRecords(chain, context)) {
+    addCandidate(chain, head)
     return effects.incomplete
   }
-  settleOn(chain, point)
+  confirmHead(chain, head)
   return effects.applied
 }
 
-function isStale (record: types.BeginRecord, reading: Reading): boolean {
-  return Math.abs(reading.at - record.at) > reading.rules.reuseMs * beginDelayShare
+function isStaleBegin (record: types.BeginRecord, context: ReadContext): boolean {
+  return Math.abs(context.at - record.at) > context.rules.reuseDelayMs * maxBeginDelayRatio
 }
 
-/** Whether a program has been silent for so long that its id is free again; readers may forget it then. */
-export function mayBeginAgain (point: ChainPoint, reading: Pick<Reading, 'at' | 'rules'>): boolean {
-  const { idleMs, reuseMs } = reading.rules
-  const silentMs = reading.at - point.lastAt
-  return silentMs >= (point.finished === null ? idleMs : reuseMs)
+/** Whether a program finished or had its last record so long ago that its id may be used again; readers may then drop it. */
+export function canBeginAgain (head: ChainHead, context: Pick<ReadContext, 'at' | 'rules'>): boolean {
+  const { idleTimeoutMs, reuseDelayMs } = context.rules
+  const silentMs = context.at - head.lastAppliedAt
+  return silentMs >= (head.finished === null ? idleTimeoutMs : reuseDelayMs)
 }
 
-/** Whether a program has been silent for longer than any program may be. */
-function isGone (point: ChainPoint, reading: Reading): boolean {
-  return reading.at - point.lastAt >= reading.rules.idleMs
+/** Whether a program has had no record for the idle timeout. */
+function isAbandoned (head: ChainHead, context: ReadContext): boolean {
+  return context.at - head.lastAppliedAt >= context.rules.idleTimeoutMs
 }
 
-function whyNoBegin (point: ChainPoint, record: types.BeginRecord): effects.VoidReason {
-  if (point.finished !== null) return 'finished'
-  return sameProcess(point.home, record.home) ? 'duplicate' : 'lostRace'
+function getBeginVoidReason (head: ChainHead, record: types.BeginRecord): effects.VoidReason {
+  if (head.finished !== null) return 'finished'
+  return isSameProcess(head.home, record.home) ? 'duplicate' : 'lostRace'
 }
 
-/** Whether no earlier record of the program can matter, seen or not. */
-function nothingBefore<P extends ChainPoint> (chain: Chain<P>, reading: Reading): boolean {
-  const from = chain.seenAt ?? reading.since
-  return from === undefined || reading.at - from >= reading.rules.idleMs
+/** Whether no earlier record of the program, read or unread, is recent enough to matter. */
+function hasNoEarlierRecords<P extends ChainHead> (chain: ChainView<P>, context: ReadContext): boolean {
+  const unreadBefore = chain.lastSeenAt ?? context.coveredSince
+  return unreadBefore === undefined || context.at - unreadBefore >= context.rules.idleTimeoutMs
 }
 
-function follow<P extends ChainPoint> (
-  chain: Chain<P>, record: LaterRecord, position: types.Term, reading: Reading, rules: PointRules<P>
+function applyLater<P extends ChainHead> (
+  chain: ChainView<P>, record: LaterRecord, position: types.Term, context: ReadContext, handlers: HeadHandlers<P>
 ): effects.Effect {
-  // A begin may have replaced one that has been silent for so long.
-  const confirmed = chain.candidates.find((point) => point.term === record.term && !isGone(point, reading))
-  if (confirmed !== undefined) settleOn(chain, confirmed)
-  if (chain.current !== undefined) return advance(chain.current, record, position, reading, rules)
-  if (record.type === 'snapshot') addCandidate(chain, rules.restore(record, position, reading.at))
+  // Once a program is abandoned, a later begin may have replaced it, so its candidates can't be confirmed.
+  const confirmed = chain.candidates.find((head) => head.term === record.term && !isAbandoned(head, context))
+  if (confirmed !== undefined) confirmHead(chain, confirmed)
+  if (chain.current !== undefined) return advanceHead(chain.current, record, position, context, handlers)
+  if (record.type === 'snapshot') addCandidate(chain, handlers.createFromSnapshot(record, position, context.at))
   return effects.incomplete
 }
 
-function settleOn<P extends ChainPoint> (chain: Chain<P>, point: P): void {
-  point.isComplete = true
-  chain.current = point
-  chain.candidates = none
+function confirmHead<P extends ChainHead> (chain: ChainView<P>, head: P): void {
+  head.isComplete = true
+  chain.current = head
+  chain.candidates = noCandidates
 }
 
-function addCandidate<P extends ChainPoint> (chain: Chain<P>, point: P): void {
-  chain.candidates = [...chain.candidates, point].slice(-maxCandidates)
+function addCandidate<P extends ChainHead> (chain: ChainView<P>, head: P): void {
+  chain.candidates = [...chain.candidates, head].slice(-maxCandidates)
 }
 
-function advance<P extends ChainPoint> (
-  point: P, record: LaterRecord, position: types.Term, reading: Reading, rules: PointRules<P>
+function advanceHead<P extends ChainHead> (
+  head: P, record: LaterRecord, position: types.Term, context: ReadContext, handlers: HeadHandlers<P>
 ): effects.Effect {
-  const reason = isGone(point, reading) ? 'unknownProgram' : whyVoid(point, record)
-  if (reason !== undefined) return effects.voided(reason)
-  point.n = record.n
-  point.lastAt = reading.at
-  if (record.type === 'claim') point.home = record.home
-  if (record.type === 'claim' || record.type === 'snapshot') point.term = position
-  if (record.type === 'finish') point.finished = record.result
-  return rules.apply(point, record, position)
+  const reason = isAbandoned(head, context) ? 'unknownProgram' : getVoidReason(head, record)
+  if (reason !== undefined) return effects.createVoidEffect(reason)
+  head.n = record.n
+  head.lastAppliedAt = context.at
+  if (record.type === 'claim') head.home = record.home
+  if (record.type === 'claim' || record.type === 'snapshot') head.term = position
+  if (record.type === 'finish') head.finished = record.result
+  return handlers.applyContent(head, record, position)
 }
 
-/** Why the chain has no place for a record; undefined if it is the next one. */
-export function whyVoid (point: ChainPoint, record: LaterRecord): effects.VoidReason | undefined {
-  if (record.term > point.term) return 'unknownTerm'
-  if (record.term < point.term || record.n <= point.n) return whyTaken(point, record)
-  if (record.n > point.n + 1) return 'outOfOrder'
-  return point.finished === null ? undefined : 'finished'
+/** Returns why a record can't be the next one of the chain; undefined if it can. */
+export function getVoidReason (head: ChainHead, record: LaterRecord): effects.VoidReason | undefined {
+  if (record.term > head.term) return 'unknownTerm'
+  if (record.term < head.term || record.n <= head.n) return getTakenVoidReason(head, record)
+  if (record.n > head.n + 1) return 'outOfOrder'
+  return head.finished === null ? undefined : 'finished'
 }
 
-/** Why a record comes too late for its place in the chain. */
-function whyTaken (point: ChainPoint, record: LaterRecord): effects.VoidReason {
-  if (record.type === 'claim') return sameProcess(point.home, record.home) ? 'duplicate' : 'lostRace'
-  return record.term < point.term ? 'olderTerm' : 'duplicate'
+/** Returns why a record is void whose term is older or whose sequence number is taken. */
+function getTakenVoidReason (head: ChainHead, record: LaterRecord): effects.VoidReason {
+  if (record.type === 'claim') return isSameProcess(head.home, record.home) ? 'duplicate' : 'lostRace'
+  return record.term < head.term ? 'olderTerm' : 'duplicate'
 }
 
-/** Whether two references name the same run of the same process. */
-export function sameProcess (a: types.ProcessRef, b: types.ProcessRef): boolean {
+/** Whether two references name the same incarnation of the same process. */
+export function isSameProcess (a: types.ProcessRef, b: types.ProcessRef): boolean {
   return a.host === b.host && a.incarnation === b.incarnation
 }
--- a/packages/state/program-state/src/effect.ts
+++ b/packages/state/program-state/src/effect.ts
@@ -1,41 +1,43 @@
-/** What applying one journal record came to. */
+/** The result of applying one journal record. */
 
 /** Why a record has no effect. */
 export type VoidReason =
-  /** A second copy of a record that was applied before, or another record at a place that is taken. */
+  /** A duplicate of a record that was applied before, or another record whose sequence number is taken. */
   | 'duplicate'
   /** Written by a home that a newer claim has superseded. */
   | 'olderTerm'
-  /** A begin or claim that came after another one for the same place. */
+  /** A begin or claim that the log appended after another one for the same sequence number. */
   | 'lostRace'
-  /** Ahead of the next place in the program's chain. */
+  /** The sequence number is higher than the next one of the program's chain. */
   | 'outOfOrder'
-  /** Names a term that this reader never saw begin. */
+  /** The term is higher than the current one, so this reader has not seen it start. */
   | 'unknownTerm'
-  /** Belongs to a program that never began, or that had no record for so long that readers may have forgotten it. */
+  /** Belongs to a program that never began, or that had no record for so long that readers may have dropped it. */
   | 'unknownProgram'
+  /** The program has finished. */
   | 'finished'
-  /** A begin that the log took too long after it was written. */
+  /** A begin that the log appended too long after it was written. */
   | 'staleBegin'
-  /** The sequence number is not the next one of its branch. */
+  /** The sequence number of the call is not the next one of its branch. */
   | 'wrongSeq'
+  /** A finished call or an open intent has the same request key. */
   | 'keyUsed'
   /** Another call of the branch has an open intent. */
   | 'intentOpen'
-  /** A settle, where no intent is open under its key. */
+  /** A settle whose key has no open intent. */
   | 'noIntent'
-  /** A turn under the key of an open intent that was for another call. */
+  /** A turn whose key has an open intent for another call. */
   | 'intentMismatch'
 
 export type Effect =
   | { readonly type: 'applied' }
   | { readonly type: 'void', readonly reason: VoidReason }
-  /** The reader can't tell, as older records of the program have expired or contradict the record. */
+  /** The reader can't decide, because older records of the program have expired or contradict the record. */
   | { readonly type: 'incomplete' }
 
 export const applied: Effect = { type: 'applied' }
 export const incomplete: Effect = { type: 'incomplete' }
 
-export function voided (reason: VoidReason): Effect {
+export function createVoidEffect (reason: VoidReason): Effect {
   return { type: 'void', reason }
 }
--- a/packages/state/program-state/src/fold.test.ts
+++ b/packages/state/program-state/src/fold.test.ts
@@ -20,8 +20,8 @@
 tap.test('every reader ends with the same state', async (t) => {
   holds(t, ({ log, writers: all }) => {
     const truth = writers.readAll(log)
-    for (const { views, next, since } of all.filter((writer) => writer.since === undefined)) {
-      writers.readOn(views, log, next, log.length, since)
+    for (const { views, next, coveredSince } of all.filter((writer) => writer.coveredSince === undefined)) {
+      writers.readOn(views, log, next, log.length, coveredSince)
       for (const program of writers.programs) assert.deepEqual(plain(views.get(program)), plain(truth.get(program)))
     }
   })
@@ -55,7 +55,7 @@
     for (const [offset, { at }] of log.entries()) {
       writers.readOn(views, log, offset, offset + 1, undefined, (record, effect) => { if (effect.type === 'applied') own.push(record) })
       for (const [program, view] of views) {
-        if (!programState.mayBeginAgain(view.current!, { at, rules: writers.rules })) continue
+        if (!programState.canBeginAgain(view.current!, { at, rules: writers.rules })) continue
         views.delete(program)
         forgotten += 1
       }
--- a/packages/state/program-state/src/index.ts
+++ b/packages/state/program-state/src/index.ts
@@ -1,4 +1,4 @@
-/** The state of a program as a pure fold over its journal records. */
+/** Computes the state of a program as a pure fold over its journal records. */
 export * from './effect.js'
 export * from './chain.js'
 export * from './state.js'
--- a/packages/state/program-state/src/program-state.test.ts
+++ b/packages/state/program-state/src/program-state.test.ts
@@ -92,8 +92,8 @@
 tap.test('what is left of the budget counts reservations', async (t) => {
   const { state } = fold([begin(), turn(2, 10, turnOf(1, 'k1')), intent(3, 10, 2, 'k2')])
   const held = { tokens: 500, calls: 1, microCost: 0 }
-  t.same(programState.remaining(state!, held, 31_000 as types.EpochMs), { tokens: 490, calls: 7, microCost: 398, wallMs: 30_000 })
-  t.same(programState.remaining(state!, { tokens: 5000, calls: 99, microCost: 0 }, 99_000 as types.EpochMs),
+  t.same(programState.computeRemaining(state!, held, 31_000 as types.EpochMs), { tokens: 490, calls: 7, microCost: 398, wallMs: 30_000 })
+  t.same(programState.computeRemaining(state!, { tokens: 5000, calls: 99, microCost: 0 }, 99_000 as types.EpochMs),
     { tokens: 0, calls: 0, microCost: 398, wallMs: 0 })
 })
 
@@ -109,7 +109,7 @@
     turn(5, 10, turnOf(4, 'k4'))
   ])
   t.same(programState.collectMessages(state!, main).map(({ content }) => content), ['k1', 'answer to k1', 'k4', 'answer to k4'])
-  t.equal(programState.historyOf(state!).turns.length, 4)
+  t.equal(programState.createHistory(state!).turns.length, 4)
 })
 
 tap.test('a snapshot of a known program makes a new term only', async (t) => {
@@ -129,7 +129,7 @@
 })
 
 tap.test('a late reader trusts a snapshot once a record bears its term', async (t) => {
-  const late = { at: 0 as types.EpochMs, since: 0 as types.EpochMs, rules: programState.wholeStream.rules }
+  const late = { at: 0 as types.EpochMs, coveredSince: 0 as types.EpochMs, rules: programState.wholeStream.rules }
   const before = programState.createSnapshot(fold([begin(), turn(2, 10, turnOf(1, 'k1'))]).state!)
   const alone = fold([turn(2, 10, turnOf(1, 'k1')), records.snapshot(3, before)], late)
   t.same(alone, { state: undefined, effects: ['incomplete', 'incomplete'] })
@@ -140,8 +140,8 @@
 })
 
 tap.test('an id may be begun again after its time, and a late begin is void', async (t) => {
-  const rules = { idleMs: 8000, reuseMs: 4000 }
-  const at = (ms: number): programState.Reading => ({ at: ms as types.EpochMs, since: undefined, rules })
+  const rules = { idleTimeoutMs: 8000, reuseDelayMs: 4000 }
+  const at = (ms: number): programState.ReadContext => ({ at: ms as types.EpochMs, coveredSince: undefined, rules })
   const later = { ...begin(homeB), at: 5500 as types.EpochMs }
   const first = programState.applyRecord(undefined, begin(), term(10), at(1000))
   const ended = programState.applyRecord(first.view, finish(2, 10), term(20), at(1500))
--- a/packages/state/program-state/src/queries.ts
+++ b/packages/state/program-state/src/queries.ts
@@ -1,29 +1,29 @@
-/** What may be asked of a program's state. */
+/** Queries on the state of a program. */
 import type * as types from '@eelgrasswind/types'
 import * as usages from './usage.js'
 import type * as states from './state.js'
 
-/** The sequence number of the next new call of a branch; an open intent occupies its place. */
+/** Returns the sequence number of the next new call of a branch; an open intent holds its own. */
 export function getNextSeq (state: states.ProgramState, branch: types.BranchId): number {
   const known = state.branches.get(branch)
   if (known === undefined) return 1
-  return known.turns.length + (known.open === undefined ? 1 : 2)
+  return known.turns.length + (known.openIntent === undefined ? 1 : 2)
 }
 
-/** The finished call under a request key. */
+/** Returns the finished call with a request key. */
 export function findTurn (state: states.ProgramState, key: types.RequestKey): types.Turn | undefined {
   return state.turnsByKey.get(key)
 }
 
-/** The open intent under a request key. */
+/** Returns the open intent with a request key. */
 export function findIntent (state: states.ProgramState, key: types.RequestKey): states.OpenIntent | undefined {
   return state.intents.get(key)
 }
 
 /**
- * The conversation of a branch so far, for the prompt of its next model call: the messages of each answered
- * model call, then its answer. A failed call keeps its place in the history but adds nothing here, as its
- * caller repeats the messages in the next call; a service call adds nothing, as its caller sends the result.
+ * Collects the conversation of a branch for the prompt of its next model call: the messages of each successful
+ * model call, followed by its answer. Failed calls are left out, because the caller repeats their messages in the
+ * next call. Service calls are left out, because the caller includes their results in its messages.
  */
 export function collectMessages (state: states.ProgramState, branch: types.BranchId): types.ChatMessage[] {
   const messages: types.ChatMessage[] = []
@@ -35,16 +35,16 @@
   return messages
 }
 
-/** What counts against the budget: finished calls, and as if spent the reservations of open intents and the allowances of earlier homes. */
+/** Computes what counts against the budget: finished calls, reservations of open intents and allowances of earlier homes. */
 export function computeSpent (state: states.ProgramState): types.Usage {
   return usages.add(usages.add(state.used, state.reserved), state.forfeited)
 }
 
 /**
- * What is left of the budget, never below 0, when `reserved` is held for calls that have no record yet.
- * `now` is wall time.
+ * Computes the remaining budget, at least 0 in each member, after subtracting `reserved` for calls that have no
+ * record yet. `now` is wall-clock time.
  */
-export function remaining (state: states.ProgramState, reserved: types.Usage, now: types.EpochMs): types.Budget {
+export function computeRemaining (state: states.ProgramState, reserved: types.Usage, now: types.EpochMs): types.Budget {
   const { budget } = state.start
   const total = usages.add(computeSpent(state), reserved)
   return {
@@ -55,10 +55,10 @@
   }
 }
 
-/** The whole history of a program, for its caller. */
+/** The complete history of a program, as its caller sees it. */
 export interface ProgramHistory {
   readonly start: types.ProgramStart
-  /** When it began. */
+  /** When the program began. */
   readonly at: types.EpochMs
   readonly turns: readonly types.Turn[]
   readonly intents: readonly states.OpenIntent[]
@@ -66,8 +66,8 @@
   readonly finished: types.FinishResult | null
 }
 
-/** A copy of the history that later records don't change. */
-export function historyOf (state: states.ProgramState): ProgramHistory {
+/** Copies the history, so that later records don't change the copy. */
+export function createHistory (state: states.ProgramState): ProgramHistory {
   return {
     start: state.start,
     at: state.at,
--- a/packages/state/program-state/src/record-schema.ts
+++ b/packages/state/program-state/src/record-schema.ts
@@ -1,40 +1,40 @@
-/** The shape of a journal batch, for checking what comes from the log. */
+/** Schemas that validate journal batches read from the log, and records before they are written. */
 import * as zod from 'zod'
 import * as types from '@eelgrasswind/types'
 
 export const journalFormat = types.journalFormat
 
-const text = zod.string().min(1)
-const whole = zod.int().nonnegative()
-const amount = zod.number().nonnegative()
+const nonEmptyString = zod.string().min(1)
+const nonNegativeInt = zod.int().nonnegative()
+const nonNegativeNumber = zod.number().nonnegative()
 
-/** A schema whose output carries the brand that the compiler knows. */
-function branded<T> (schema: zod.ZodType<string> | zod.ZodType<number>): zod.ZodType<T> {
+/** Casts a schema so that its output has a branded type. */
+function asBranded<T> (schema: zod.ZodType<string> | zod.ZodType<number>): zod.ZodType<T> {
   return schema as unknown as zod.ZodType<T>
 }
 
-const program = branded<types.ProgramId>(text)
-const key = branded<types.RequestKey>(text)
-const branch = branded<types.BranchId>(text)
-const upstream = branded<types.UpstreamId>(text)
-const term = branded<types.Term>(whole)
-const epochMs = branded<types.EpochMs>(zod.number())
+const program = asBranded<types.ProgramId>(nonEmptyString)
+const key = asBranded<types.RequestKey>(nonEmptyString)
+const branch = asBranded<types.BranchId>(nonEmptyString)
+const upstream = asBranded<types.UpstreamId>(nonEmptyString)
+const term = asBranded<types.Term>(nonNegativeInt)
+const epochMs = asBranded<types.EpochMs>(zod.number())
 const seq = zod.int().positive()
 const finishResult = zod.enum(['done', 'cancelled', 'budgetExceeded', 'expired'])
 
-const process = zod.strictObject({
-  host: branded<types.HostId>(text),
-  incarnation: branded<types.Incarnation>(text)
+const processRef = zod.strictObject({
+  host: asBranded<types.HostId>(nonEmptyString),
+  incarnation: asBranded<types.Incarnation>(nonEmptyString)
 })
 
-const usage = zod.strictObject({ tokens: amount, calls: amount, microCost: amount })
+const usage = zod.strictObject({ tokens: nonNegativeNumber, calls: nonNegativeNumber, microCost: nonNegativeNumber })
 
 const start = zod.strictObject({
   program,
-  client: branded<types.ClientId>(text),
-  kind: branded<types.KindId>(text),
+  client: asBranded<types.ClientId>(nonEmptyString),
+  kind: asBranded<types.KindId>(nonEmptyString),
   deadline: epochMs,
-  budget: zod.strictObject({ tokens: amount, calls: amount, microCost: amount, wallMs: amount })
+  budget: zod.strictObject({ tokens: nonNegativeNumber, calls: nonNegativeNumber, microCost: nonNegativeNumber, wallMs: nonNegativeNumber })
 })
 
 const message = zod.looseObject({ role: zod.string(), content: zod.unknown() })
@@ -42,14 +42,14 @@
 const target = zod.discriminatedUnion('type', [
   zod.strictObject({
     type: zod.literal('model'),
-    model: branded<types.ModelId>(text),
+    model: asBranded<types.ModelId>(nonEmptyString),
     messages: zod.array(message),
-    maxTokens: amount,
+    maxTokens: nonNegativeNumber,
     options: zod.record(zod.string(), zod.unknown())
   }),
   zod.strictObject({
     type: zod.literal('service'),
-    service: branded<types.ServiceId>(text),
+    service: asBranded<types.ServiceId>(nonEmptyString),
     path: zod.string(),
     body: zod.unknown()
   })
@@ -74,50 +74,53 @@
   target,
   outcome,
   usage,
-  tokens: zod.strictObject({ prompt: amount, cached: amount, generated: amount }),
+  tokens: zod.strictObject({ prompt: nonNegativeNumber, cached: nonNegativeNumber, generated: nonNegativeNumber }),
   upstream,
   startedAt: epochMs,
   endedAt: epochMs
 })
 
-const intent = { key, branch, seq, digest: zod.string(), target, upstream, dispatchTo: process, reserved: usage, at: epochMs }
+const intentFields = { key, branch, seq, digest: zod.string(), target, upstream, dispatchTo: processRef, reserved: usage, at: epochMs }
 
-const state = zod.strictObject({
+const snapshotState = zod.strictObject({
   start,
-  home: process,
+  home: processRef,
   term,
   at: epochMs,
   turns: zod.array(turn),
-  intents: zod.array(zod.strictObject(intent)),
+  intents: zod.array(zod.strictObject(intentFields)),
   finished: finishResult.nullable(),
   allowance: usage,
   forfeited: usage
 })
 
-const later = { program, n: zod.int().min(2), term }
+const laterFields = { program, n: zod.int().min(2), term }
 
-const sameProgram = { message: 'names another program than its record', path: ['start', 'program'] }
-const sameProgramInState = { ...sameProgram, path: ['state', 'start', 'program'] }
-const sameTerm = { message: 'names another term than its record', path: ['state', 'term'] }
+const programMismatch = { message: 'must be the program of the record', path: ['start', 'program'] }
+const stateProgramMismatch = { ...programMismatch, path: ['state', 'start', 'program'] }
+const stateTermMismatch = { message: 'must be the term of the record', path: ['state', 'term'] }
 
+/** Schema of one journal record of any type. */
 export const record: zod.ZodType<types.JournalRecord> = zod.discriminatedUnion('type', [
   zod.strictObject({
-    type: zod.literal('begin'), program, n: zod.literal(1), term: branded<types.Term>(zod.literal(0)), start, home: process, at: epochMs, allowance: zod.exactOptional(usage)
-  }).refine((begin) => begin.start.program === begin.program, sameProgram),
-  zod.strictObject({ type: zod.literal('claim'), ...later, home: process, at: epochMs }),
-  zod.strictObject({ type: zod.literal('intent'), ...later, ...intent }),
-  zod.strictObject({ type: zod.literal('turn'), ...later, turn, allowance: zod.exactOptional(usage) }),
-  zod.strictObject({ type: zod.literal('allow'), ...later, allowance: usage }),
-  zod.strictObject({ type: zod.literal('settle'), ...later, key, verdict: zod.literal('notRun') }),
-  zod.strictObject({ type: zod.literal('finish'), ...later, result: finishResult, at: epochMs }),
-  zod.strictObject({ type: zod.literal('snapshot'), ...later, state })
-    .refine((snapshot) => snapshot.state.start.program === snapshot.program, sameProgramInState)
-    .refine((snapshot) => snapshot.state.term === snapshot.term, sameTerm)
+    type: zod.literal('begin'), program, n: zod.literal(1), term: asBranded<types.Term>(zod.literal(0)), start, home: processRef, at: epochMs, allowance: zod.exactOptional(usage)
+  }).refine((begin) => begin.start.program === begin.program, programMismatch),
+  zod.strictObject({ type: zod.literal('claim'), ...laterFields, home: processRef, at: epochMs }),
+  zod.strictObject({ type: zod.literal('intent'), ...laterFields, ...intentFields }),
+  zod.strictObject({ type: zod.literal('turn'), ...laterFields, turn, allowance: zod.exactOptional(usage) }),
+  zod.strictObject({ type: zod.literal('allow'), ...laterFields, allowance: usage }),
+  zod.strictObject({ type: zod.literal('settle'), ...laterFields, key, verdict: zod.literal('notRun') }),
+  zod.strictObject({ type: zod.literal('finish'), ...laterFields, result: finishResult, at: epochMs }),
+  zod.strictObject({ type: zod.literal('snapshot'), ...laterFields, state: snapshotState })
+    .refine((snapshot) => snapshot.state.start.program === snapshot.program, stateProgramMismatch)
+    .refine((snapshot) => snapshot.state.term === snapshot.term, stateTermMismatch)
 ])
 
+/** Schema of a whole batch in the format of this version. */
 export const batch: zod.ZodType<types.JournalBatch> = zod.strictObject({
   format: zod.literal(types.journalFormat),
   records: zod.array(record).max(types.maxBatchRecords)
 })
 
+/** Schema of the format number alone, which every version of a batch has. */
 export const formatOnly = zod.looseObject({ format: zod.number() })
--- a/packages/state/program-state/src/state.ts
+++ b/packages/state/program-state/src/state.ts
@@ -1,4 +1,4 @@
-/** The state of a program: its chain and the content of the records that took effect. */
+/** The state of a program: the head of its chain and the content of the records that took effect. */
 import * as util from 'node:util'
 import type * as types from '@eelgrasswind/types'
 import * as errors from '@eelgrasswind/errors'
@@ -6,75 +6,75 @@
 import * as effects from './effect.js'
 import * as usages from './usage.js'
 
-/** An intent that has neither a turn nor a settle yet. */
+/** An intent to dispatch a call that no turn or settle record has closed yet. */
 export type OpenIntent = types.SnapshotState['intents'][number]
 
 /** One branch of a program. */
 export interface BranchState {
-  /** Finished calls; the one with sequence number s is at s - 1. */
+  /** Finished calls; the call with sequence number s is at index s - 1. */
   readonly turns: types.Turn[]
-  /** The call that occupies the next place, if an intent is open for it. */
-  open: OpenIntent | undefined
+  /** The intent that holds the next sequence number, if one is open. */
+  openIntent: OpenIntent | undefined
 }
 
 /**
- * The state of one program. Owned by the fold: `applyRecord` changes it in place, so that a record costs the
- * same however long the history is. Others only read it, and take `snapshotOf` or `historyOf` to keep a copy.
- * Turns and intents themselves never change.
+ * The state of one program. Owned by the fold: `applyRecord` mutates it, so that the cost of a record does not
+ * depend on the length of the history. Other code must only read it, and call `createSnapshot` or
+ * `createHistory` to keep a copy. Turns and intents are immutable.
  */
-export interface ProgramState extends chains.ChainPoint {
+export interface ProgramState extends chains.ChainHead {
   readonly start: types.ProgramStart
-  /** When it began, by its first home's clock. */
+  /** When the program began, by the clock of its first home. */
   readonly at: types.EpochMs
-  /** Every finished call, in the order of the journal. */
+  /** All finished calls, in journal order. */
   readonly turns: types.Turn[]
   readonly turnsByKey: Map<types.RequestKey, types.Turn>
   readonly intents: Map<types.RequestKey, OpenIntent>
   readonly branches: Map<types.BranchId, BranchState>
-  /** What the finished calls used. */
+  /** Total usage of the finished calls. */
   used: types.Usage
-  /** What the open intents reserve. */
+  /** Total reservation of the open intents. */
   reserved: types.Usage
-  /** What the home may use on calls that have no record yet. */
+  /** What the home may use for calls that have no record yet. */
   allowance: types.Usage
-  /** Allowances of earlier homes, counted as spent. */
+  /** Allowances of earlier homes, which count as spent. */
   forfeited: types.Usage
 }
 
-/** What a reader knows of a program: its state, or that it can't know it yet. */
-export type ProgramView = chains.Chain<ProgramState>
+/** What a reader knows about a program: its state, or candidates for it that are not confirmed yet. */
+export type ProgramView = chains.ChainView<ProgramState>
 
-export interface Applied {
-  /** Undefined while nothing is known of the program. The same object as was passed in, once there is one. */
+export interface ApplyResult {
+  /** Undefined while nothing is known about the program. The same object as was passed in, if there was one. */
   readonly view: ProgramView | undefined
   readonly effect: effects.Effect
 }
 
 /**
- * Applies one record to the state of its program. Takes over `view` and changes it in place.
- * A record that the chain takes but whose content breaks a rule keeps its place `n` and has no other effect.
+ * Applies one record to the state of its program. Takes ownership of `view` and mutates it.
+ * A record that is next in the chain but whose content is not allowed uses up its sequence number `n` and has no other effect.
  */
 export function applyRecord (
-  view: ProgramView | undefined, record: types.JournalRecord, position: types.Term, reading: chains.Reading = chains.wholeStream
-): Applied {
-  const { chain, effect } = chains.applyToChain(view, record, position, reading, stateRules)
+  view: ProgramView | undefined, record: types.JournalRecord, position: types.Term, context: chains.ReadContext = chains.wholeStream
+): ApplyResult {
+  const { chain, effect } = chains.applyToChain(view, record, position, context, stateHandlers)
   return { view: chain, effect }
 }
 
-/** What a reader knows that starts with a begin or snapshot which is known to have taken effect; undefined for other records. */
-export function viewFrom (record: types.JournalRecord, position: types.Term, at: types.EpochMs): ProgramView | undefined {
+/** Creates a complete view from a begin or snapshot that is known to have taken effect; undefined for other records. */
+export function createViewFromBase (record: types.JournalRecord, position: types.Term, at: types.EpochMs): ProgramView | undefined {
   if (record.type !== 'begin' && record.type !== 'snapshot') return undefined
-  const state = record.type === 'begin' ? stateFromBegin(record, position, at) : stateFromSnapshot(record, position, at)
+  const state = record.type === 'begin' ? createStateFromBegin(record, position, at) : createStateFromSnapshot(record, position, at)
   state.isComplete = true
-  return { program: record.program, current: state, candidates: [], seenAt: at }
+  return { program: record.program, current: state, candidates: [], lastSeenAt: at }
 }
 
-/** The state, where the reader knows the whole of it. */
+/** Returns the state if it is known completely. */
 export function getCompleteState (view: ProgramView | undefined): ProgramState | undefined {
   return view?.current?.isComplete === true ? view.current : undefined
 }
 
-/** A copy of the whole state that later records don't change. */
+/** Copies the whole state, so that later records don't change the copy. */
 export function createSnapshot (state: ProgramState): types.SnapshotState {
   return {
     start: state.start,
@@ -89,41 +89,41 @@
   }
 }
 
-/** The state that a program's first record, taken as such, makes. */
-export function stateFromBegin (record: types.BeginRecord, position: types.Term, at: types.EpochMs): ProgramState {
-  return createState(chains.firstPoint(record, position, at), record, record.allowance ?? usages.none, usages.none)
+/** Creates the state after a begin, without a check whether the begin took effect. */
+export function createStateFromBegin (record: types.BeginRecord, position: types.Term, at: types.EpochMs): ProgramState {
+  return createState(chains.createHeadFromBegin(record, position, at), record, record.allowance ?? usages.zero, usages.zero)
 }
 
-/** The state that a snapshot, taken as true, makes. */
-export function stateFromSnapshot (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs): ProgramState {
+/** Creates the state that a snapshot describes, without a check whether the snapshot took effect. */
+export function createStateFromSnapshot (record: types.SnapshotRecord, position: types.Term, at: types.EpochMs): ProgramState {
   const { turns, intents, allowance, forfeited } = record.state
-  const state = createState(chains.restoredPoint(record, position, at), record.state, allowance, forfeited)
+  const state = createState(chains.createHeadFromSnapshot(record, position, at), record.state, allowance, forfeited)
   for (const turn of turns) addTurn(state, turn)
   for (const intent of intents) addIntent(state, intent)
   return state
 }
 
-const stateRules: chains.PointRules<ProgramState> = { begin: stateFromBegin, restore: stateFromSnapshot, apply: applyContent }
+const stateHandlers: chains.HeadHandlers<ProgramState> = { createFromBegin: createStateFromBegin, createFromSnapshot: createStateFromSnapshot, applyContent }
 
-/** Member by member, as a spread makes objects that take more memory and are slower to change. */
+/** Lists each member, because a spread creates objects that use more memory and are slower to mutate. */
 function createState (
-  point: chains.ChainPoint, { start, at }: Pick<ProgramState, 'start' | 'at'>, allowance: types.Usage, forfeited: types.Usage
+  head: chains.ChainHead, { start, at }: Pick<ProgramState, 'start' | 'at'>, allowance: types.Usage, forfeited: types.Usage
 ): ProgramState {
   return {
-    term: point.term,
-    n: point.n,
-    home: point.home,
-    finished: point.finished,
-    lastAt: point.lastAt,
-    isComplete: point.isComplete,
+    term: head.term,
+    n: head.n,
+    home: head.home,
+    finished: head.finished,
+    lastAppliedAt: head.lastAppliedAt,
+    isComplete: head.isComplete,
     start,
     at,
     turns: [],
     turnsByKey: new Map(),
     intents: new Map(),
     branches: new Map(),
-    used: usages.none,
-    reserved: usages.none,
+    used: usages.zero,
+    reserved: usages.zero,
     allowance,
     forfeited
   }
@@ -152,73 +152,73 @@
 }
 
 function applyIntent (state: ProgramState, record: types.IntentRecord): effects.Effect {
-  if (state.turnsByKey.has(record.key) || state.intents.has(record.key)) return effects.voided('keyUsed')
-  const branch = branchOf(state, record.branch)
-  if (branch.open !== undefined) return effects.voided('intentOpen')
-  if (record.seq !== branch.turns.length + 1) return effects.voided('wrongSeq')
-  addIntent(state, intentOf(record))
+  if (state.turnsByKey.has(record.key) || state.intents.has(record.key)) return effects.createVoidEffect('keyUsed')
+  const branch = getBranch(state, record.branch)
+  if (branch.openIntent !== undefined) return effects.createVoidEffect('intentOpen')
+  if (record.seq !== branch.turns.length + 1) return effects.createVoidEffect('wrongSeq')
+  addIntent(state, toOpenIntent(record))
   return effects.applied
 }
 
-/** Nobody can know what the earlier home used of its allowance, so all of it counts as spent. */
+/** Counts the whole allowance of the superseded home as spent, because it is unknown how much of it that home used. */
 function forfeitAllowance (state: ProgramState): effects.Effect {
   state.forfeited = usages.add(state.forfeited, state.allowance)
-  state.allowance = usages.none
+  state.allowance = usages.zero
   return effects.applied
 }
 
 function applyTurn (state: ProgramState, turn: types.Turn, allowance: types.Usage | undefined): effects.Effect {
-  if (state.turnsByKey.has(turn.key)) return effects.voided('keyUsed')
+  if (state.turnsByKey.has(turn.key)) return effects.createVoidEffect('keyUsed')
   const intent = state.intents.get(turn.key)
-  const reason = intent === undefined ? whyNoTurn(branchOf(state, turn.branch), turn) : whyNoMatch(intent, turn)
-  if (reason !== undefined) return effects.voided(reason)
+  const reason = intent === undefined ? getTurnVoidReason(getBranch(state, turn.branch), turn) : getMismatchVoidReason(intent, turn)
+  if (reason !== undefined) return effects.createVoidEffect(reason)
   if (intent !== undefined) removeIntent(state, intent)
   addTurn(state, turn)
   state.allowance = allowance ?? state.allowance
   return effects.applied
 }
 
-function whyNoTurn (branch: BranchState, turn: types.Turn): effects.VoidReason | undefined {
-  if (branch.open !== undefined) return 'intentOpen'
+function getTurnVoidReason (branch: BranchState, turn: types.Turn): effects.VoidReason | undefined {
+  if (branch.openIntent !== undefined) return 'intentOpen'
   return turn.seq === branch.turns.length + 1 ? undefined : 'wrongSeq'
 }
 
-function whyNoMatch (intent: OpenIntent, turn: types.Turn): effects.VoidReason | undefined {
-  const same = intent.branch === turn.branch && intent.seq === turn.seq && intent.digest === turn.digest
-  return same ? undefined : 'intentMismatch'
+function getMismatchVoidReason (intent: OpenIntent, turn: types.Turn): effects.VoidReason | undefined {
+  const isSameCall = intent.branch === turn.branch && intent.seq === turn.seq && intent.digest === turn.digest
+  return isSameCall ? undefined : 'intentMismatch'
 }
 
 function applySettle (state: ProgramState, record: types.SettleRecord): effects.Effect {
   const intent = state.intents.get(record.key)
-  if (intent === undefined) return effects.voided('noIntent')
+  if (intent === undefined) return effects.createVoidEffect('noIntent')
   removeIntent(state, intent)
   return effects.applied
 }
 
-/** A snapshot of a known program changes nothing; one that tells another story marks the program as incomplete. */
+/** Compares a snapshot with the known state. A snapshot that matches changes nothing; one that differs marks the state as incomplete. */
 function checkSnapshot (state: ProgramState, record: types.SnapshotRecord): effects.Effect {
   const expected = { ...createSnapshot(state), term: record.term }
-  if (util.isDeepStrictEqual(plain(expected), plain(record.state))) return effects.applied
+  if (util.isDeepStrictEqual(toPlainJson(expected), toPlainJson(record.state))) return effects.applied
   state.isComplete = false
   return effects.incomplete
 }
 
-/** A value as a reader of the journal would get it. */
-function plain (value: types.SnapshotState): unknown {
+/** Converts a value to what a reader of the journal would parse. */
+function toPlainJson (value: types.SnapshotState): unknown {
   return JSON.parse(JSON.stringify(value))
 }
 
-function intentOf (record: types.IntentRecord): OpenIntent {
+function toOpenIntent (record: types.IntentRecord): OpenIntent {
   const { key, branch, seq, digest, target, upstream, dispatchTo, reserved, at } = record
   return { key, branch, seq, digest, target, upstream, dispatchTo, reserved, at }
 }
 
-function branchOf (state: ProgramState, id: types.BranchId): BranchState {
-  return state.branches.get(id) ?? { turns: [], open: undefined }
+function getBranch (state: ProgramState, id: types.BranchId): BranchState {
+  return state.branches.get(id) ?? { turns: [], openIntent: undefined }
 }
 
 function addTurn (state: ProgramState, turn: types.Turn): void {
-  const branch = branchOf(state, turn.branch)
+  const branch = getBranch(state, turn.branch)
   branch.turns.push(turn)
   state.branches.set(turn.branch, branch)
   state.turns.push(turn)
@@ -227,15 +227,15 @@
 }
 
 function addIntent (state: ProgramState, intent: OpenIntent): void {
-  const branch = branchOf(state, intent.branch)
-  branch.open = intent
+  const branch = getBranch(state, intent.branch)
+  branch.openIntent = intent
   state.branches.set(intent.branch, branch)
   state.intents.set(intent.key, intent)
   state.reserved = usages.add(state.reserved, intent.reserved)
 }
 
 function removeIntent (state: ProgramState, intent: OpenIntent): void {
-  branchOf(state, intent.branch).open = undefined
+  getBranch(state, intent.branch).openIntent = undefined
   state.intents.delete(intent.key)
   state.reserved = usages.subtract(state.reserved, intent.reserved)
 }
--- a/packages/state/program-state/src/test-writers.ts
+++ b/packages/state/program-state/src/test-writers.ts
@@ -6,7 +6,7 @@
 
 export const programs = ['p1', 'p2'] as types.ProgramId[]
 export const branches = ['main', 'agent'] as types.BranchId[]
-export const rules: programState.FoldRules = { idleMs: 100, reuseMs: 48 }
+export const rules: programState.FoldRules = { idleTimeoutMs: 100, reuseDelayMs: 48 }
 
 export interface LogEntry {
   readonly batch: readonly types.JournalRecord[]
@@ -21,7 +21,7 @@
   readonly home: types.ProcessRef
   readonly views: Views
   next: number
-  readonly since: types.EpochMs | undefined
+  readonly coveredSince: types.EpochMs | undefined
   /** The last record it wrote of each program. */
   readonly sent: Map<types.ProgramId, types.JournalRecord>
 }
@@ -50,12 +50,12 @@
 export const schedule = fc.array(step, { minLength: 40, maxLength: 250, size: 'max' })
 
 /** Folds entries of the log into views. */
-export function readOn (views: Views, log: readonly LogEntry[], from: number, to: number, since: types.EpochMs | undefined, observe?: Observe): void {
+export function readOn (views: Views, log: readonly LogEntry[], from: number, to: number, coveredSince: types.EpochMs | undefined, observe?: Observe): void {
   for (let offset = from; offset < to; offset += 1) {
     const { batch, at } = log[offset]!
     for (const [index, record] of batch.entries()) {
       const position = records.term(offset * 10 + index + 1)
-      const { view, effect } = programState.applyRecord(views.get(record.program), record, position, { at, since, rules })
+      const { view, effect } = programState.applyRecord(views.get(record.program), record, position, { at, coveredSince, rules })
       if (view !== undefined) views.set(record.program, view)
       observe?.(record, effect, view, position)
     }
@@ -79,8 +79,8 @@
 
 function startWriter (world: World, name: string, from: number): Writer {
   const home = { host: name as types.HostId, incarnation: `${name}-${world.made++}` as types.Incarnation }
-  const since = from === 0 ? undefined : world.log[from]?.at ?? world.now as types.EpochMs
-  return { home, views: new Map(), next: from, since, sent: new Map() }
+  const coveredSince = from === 0 ? undefined : world.log[from]?.at ?? world.now as types.EpochMs
+  return { home, views: new Map(), next: from, coveredSince, sent: new Map() }
 }
 
 function takeStep (world: World, chosen: Step): void {
@@ -98,7 +98,7 @@
     case 'read': {
       const from = writer.next
       writer.next = size === 1 ? Math.min(world.log.length, from + 2) : world.log.length
-      return readOn(writer.views, world.log, from, writer.next, writer.since)
+      return readOn(writer.views, world.log, from, writer.next, writer.coveredSince)
     }
     case 'restart':
       world.writers[chosen.writer] = startWriter(world, writer.home.host, pick % 2 * pick % (world.log.length + 1))
@@ -137,7 +137,7 @@
   const last = writer.sent.get(program)
   const waiting = last?.term === state.term && last.n > state.n ? last.n - state.n : 0
   const base = { program, n: state.n + 1 + waiting, term: state.term }
-  const mine = programState.sameProcess(state.home, writer.home)
+  const mine = programState.isSameProcess(state.home, writer.home)
   if (mine && waiting > 2) return undefined
   if (mine) return ownRecord(state, base, waiting, pick, world.made++)
   return waiting === 0 && pick % 5 === 0 ? { ...base, type: 'claim', home: writer.home, at } : undefined
--- a/packages/state/program-state/src/usage.ts
+++ b/packages/state/program-state/src/usage.ts
@@ -1,7 +1,7 @@
-/** Sums of what programs use: tokens, calls and price in millionths of the currency. */
+/** Arithmetic on the usage of programs: tokens, calls and cost in millionths of the currency. */
 import type * as types from '@eelgrasswind/types'
 
-export const none: types.Usage = { tokens: 0, calls: 0, microCost: 0 }
+export const zero: types.Usage = { tokens: 0, calls: 0, microCost: 0 }
 
 export function add (a: types.Usage, b: types.Usage): types.Usage {
   return { tokens: a.tokens + b.tokens, calls: a.calls + b.calls, microCost: a.microCost + b.microCost }
