--- a/packages/state/program-state/src/test-records.ts
+++ b/packages/state/program-state/src/test-records.ts
@@ -1,8 +1,8 @@
-/** Records for the tests of this package; not part of its public entry. */
+/** Builds records for the tests of this package; not exported by the package. */
 import type * as types from '@eelgrasswind/types'
 
 export const program = 'p1' as types.ProgramId
-export const main = 'main' as types.BranchId
+export const mainBranch = 'main' as types.BranchId
 export const homeA = processRef('a')
 export const homeB = processRef('b')
 export const budget = { tokens: 1000, calls: 10, microCost: 500, wallMs: 60_000 }
@@ -24,8 +24,8 @@
   return { type: 'begin', program, n: 1, term: term(0), start, home, at: 1000 as types.EpochMs }
 }
 
-export function claim (n: number, superseded: number, home = homeB): types.ClaimRecord {
-  return { type: 'claim', program, n, term: term(superseded), home, at: 2000 as types.EpochMs }
+export function claim (n: number, supersededTerm: number, home = homeB): types.ClaimRecord {
+  return { type: 'claim', program, n, term: term(supersededTerm), home, at: 2000 as types.EpochMs }
 }
 
 export function modelTarget (text: string): types.CallTarget {
@@ -36,10 +36,10 @@
   return { type: 'message', message: { role: 'assistant', content: text }, finishReason: 'stop' }
 }
 
-export function turnOf (seq: number, name: string, more: Partial<types.Turn> = {}): types.Turn {
+export function createTurn (seq: number, name: string, overrides: Partial<types.Turn> = {}): types.Turn {
   return {
     key: key(name),
-    branch: main,
+    branch: mainBranch,
     seq,
     digest: `digest-${name}`,
     target: modelTarget(name),
@@ -49,21 +49,21 @@
     upstream: 'u' as types.UpstreamId,
     startedAt: 1100 as types.EpochMs,
     endedAt: 1200 as types.EpochMs,
-    ...more
+    ...overrides
   }
 }
 
-export function turn (n: number, under: number, content: types.Turn): types.TurnRecord {
-  return { type: 'turn', program, n, term: term(under), turn: content }
+export function turn (n: number, currentTerm: number, content: types.Turn): types.TurnRecord {
+  return { type: 'turn', program, n, term: term(currentTerm), turn: content }
 }
 
-export function intent (n: number, under: number, seq: number, name: string): types.IntentRecord {
-  const { branch, digest, target, upstream } = turnOf(seq, name)
+export function intent (n: number, currentTerm: number, seq: number, name: string): types.IntentRecord {
+  const { branch, digest, target, upstream } = createTurn(seq, name)
   return {
     type: 'intent',
     program,
     n,
-    term: term(under),
+    term: term(currentTerm),
     key: key(name),
     branch,
     seq,
@@ -76,12 +76,12 @@
   }
 }
 
-export function settle (n: number, under: number, name: string): types.SettleRecord {
-  return { type: 'settle', program, n, term: term(under), key: key(name), verdict: 'notRun' }
+export function settle (n: number, currentTerm: number, name: string): types.SettleRecord {
+  return { type: 'settle', program, n, term: term(currentTerm), key: key(name), verdict: 'notRun' }
 }
 
-export function finish (n: number, under: number): types.FinishRecord {
-  return { type: 'finish', program, n, term: term(under), result: 'done', at: 3000 as types.EpochMs }
+export function finish (n: number, currentTerm: number): types.FinishRecord {
+  return { type: 'finish', program, n, term: term(currentTerm), result: 'done', at: 3000 as types.EpochMs }
 }
 
 export function snapshot (n: number, state: types.SnapshotState): types.SnapshotRecord {
