--- a/packages/state/append-journal/src/backoff.ts
+++ b/packages/state/append-journal/src/backoff.ts
@@ -1,9 +1,12 @@
-/** Waiting times between attempts at the log. */
-const firstMs = 20
-const mostMs = 1000
+/** Exponential backoff between attempts to reach the log. */
+const initialDelayMs = 20
+const maxDelayMs = 1000
 
-/** Doubles with each attempt from 0 and is spread over half of its length, in milliseconds. */
-export function backoffMs (attempt: number, random: () => number): number {
-  const fullMs = Math.min(mostMs, firstMs * 2 ** attempt)
-  return fullMs / 2 + fullMs / 2 * random()
+/**
+ * Computes the delay before the next attempt, in milliseconds. It doubles with each attempt, counted from 0, up to a
+ * limit, and is jittered between half of that value and the whole. `random` returns a number from 0 to 1.
+ */
+export function computeBackoffMs (attempt: number, random: () => number): number {
+  const fullDelayMs = Math.min(maxDelayMs, initialDelayMs * 2 ** attempt)
+  return fullDelayMs / 2 + fullDelayMs / 2 * random()
 }
--- a/packages/state/append-journal/src/journal.test.ts
+++ b/packages/state/append-journal/src/journal.test.ts
@@ -196,7 +196,7 @@
 
 tap.test('a begin that landed too late to count does not keep the place of the next one', async (t) => {
   const world = createWorld()
-  const journal = await world.open({ finishedMs: 400 })
+  const journal = await world.open({ idReuseDelayMs: 400 })
   const faults: testLog.AppendFault[] = ['lateCopy']
   world.log.appendFault = () => faults.shift() ?? 'stall'
   t.match(await settled(world, journal.append(records.begin(p1, homeA, world.timers.now()))), { ok: false, failure: { verdict: 'mayHaveRun' } })
@@ -317,7 +317,7 @@
 
 tap.test('finished programs are forgotten and their ids free again', async (t) => {
   const world = createWorld()
-  const journal = await world.open({ finishedMs: hourMs })
+  const journal = await world.open({ idReuseDelayMs: hourMs })
   const term = await beginAt(world, journal, p1)
   valueOf(await settled(world, journal.append(records.finish({ program: p1, n: 2, term }))))
   t.match(await settled(world, journal.append(records.begin(p1, homeB, world.timers.now()))), { value: { applied: false, effect: { reason: 'finished' } } })
--- a/packages/state/append-journal/src/journal.ts
+++ b/packages/state/append-journal/src/journal.ts
@@ -1,4 +1,4 @@
-/** The journal of programs: appends records in batches, says whether each took effect, and loads programs. */
+/** The journal of programs: appends records in batches, reports whether each took effect, and loads programs. */
 import xxhash from 'xxhash-wasm'
 import * as errors from '@eelgrasswind/errors'
 import type * as logClient from '@eelgrasswind/log-client'
@@ -19,56 +19,61 @@
   readonly log: logClient.LogClient
   readonly timers: timerService.TimerService
   readonly logger: logger.Logger
-  /** Streams that programs are spread over; the same in every process, for ever. */
+  /** Number of streams that programs are partitioned into. Must be the same in every process and never change. */
   readonly shards: number
-  /** Appends of this process to the log, each second. */
+  /** Limit on the appends of this process to the log, per second. */
   readonly maxAppendsPerSecond: number
-  /** Bytes of records that one append gathers at most, and so of one record. */
+  /** Most bytes of records in one append, and therefore in one record. */
   readonly maxBatchBytes: number
-  /** How long a record is tried before its writer is told, in milliseconds. */
+  /** Timeout after which the append of a record fails, in milliseconds. */
   readonly patienceMs: number
-  /** How long the log keeps records, or less, in milliseconds; the same in every process. */
+  /** How long records are used, in milliseconds: at most as long as the log keeps them. Must be the same in every process. */
   readonly retentionMs?: number
-  /** Age of a program's oldest record at which it needs a snapshot, in milliseconds; at most half of the retention. */
+  /** Age of the record that a program's state starts from at which it needs a snapshot, in milliseconds; at most half of the retention. */
   readonly snapshotMs?: number
-  /** How long a finished program's id stays taken, in milliseconds; the same in every process. */
-  readonly finishedMs?: number
-  /** Another process has become the home of a local program, or its state can't be known any more: it is released. */
+  /** How long after its finish a program's id can't be begun again, in milliseconds. Must be the same in every process. */
+  readonly idReuseDelayMs?: number
+  /** Called when a local program is dropped, because another process has become its home or its state can't be known any more. */
   readonly onSuperseded: (program: types.ProgramId) => void
-  /** From 0 to 1; spreads retries. */
+  /** Returns a number from 0 to 1 for the jitter of retries. */
   readonly random?: () => number
 }
 
-/** Where a program's chain stands. */
+/** The current head of a program's chain. */
 export type Head = Readonly<Pick<programState.ChainHead, 'term' | 'n' | 'home' | 'finished'>>
 
+/** Journal of the programs of all shards. A program is local if its whole state is kept in this process. */
 export interface Journal {
-  shardOf: (program: types.ProgramId) => number
-  streamOf: (shard: number) => types.StreamName
+  getShardIndex: (program: types.ProgramId) => number
+  getStreamName: (shard: number) => types.StreamName
   /**
-   * Ok once the record is in the log; `applied` says whether it took effect. Records of one program keep their
-   * order: where one fails, those appended behind it fail as well and are not sent. A failure with the verdict
-   * `mayHaveRun` is settled by appending the same record again. Any other record at its place is refused until its
-   * fate is known, and has it sent again.
+   * Appends a record. Succeeds once the record is in the log; `applied` tells whether it took effect. Records of one
+   * program keep their order: if one fails, those queued behind it fail too and are not sent. After a failure
+   * with the verdict `mayHaveRun`, appending the same record again returns its outcome. Until that outcome is known,
+   * any other record with the same sequence number is refused and causes the first one to be sent again.
    */
-  append: (record: types.JournalRecord) => Promise<errors.Result<pendings.Appended>>
-  /** Reads a shard up to its end. */
+  append: (record: types.JournalRecord) => Promise<errors.Result<pendings.AppendOutcome>>
+  /** Reads and folds a shard up to its end. */
   catchUp: (shard: number) => Promise<errors.Result<void>>
-  /** After catching up; undefined where the program never began, historyIncomplete where this can't be known. */
+  /** Catches up and returns the head of a program; undefined if it never began. Fails with historyIncomplete if that can't be known. */
   readHead: (program: types.ProgramId) => Promise<errors.Result<Head | undefined>>
-  /** The whole state, kept up to date until release. Only the fold changes it. */
+  /**
+   * Catches up and returns the whole state of a program, which stays up to date until `release`; undefined if the
+   * program never began. Fails with historyIncomplete if the state can't be known. Callers must not change the state.
+   */
   load: (program: types.ProgramId) => Promise<errors.Result<programState.ProgramState | undefined>>
   /** Drops the state of a local program. */
   release: (program: types.ProgramId) => void
-  /** Local programs that need a snapshot before half of the retention has passed, most urgent first. `now` is wall time. */
+  /** Returns the local programs whose snapshot is due, oldest base first. `now` is wall-clock time. */
   planSnapshots: (now: types.EpochMs) => types.ProgramId[]
-  /** Whether the log has answered lately. */
+  /** False once all log requests of some shard have failed for a second. */
   isAvailable: () => boolean
   getCounters: () => Readonly<counters.JournalCounters> & counters.JournalSizes
-  /** Sends what is queued, within a bound; then appends fail. */
+  /** Rejects further appends, sends the queued ones until a timeout, and fails the rest. */
   close: () => Promise<void>
 }
 
+/** The parts of one shard, which has one journal stream. */
 interface Shard {
   readonly fold: shardFold.ShardFold
   readonly reader: shardReader.ShardReader
@@ -76,36 +81,42 @@
 }
 
 const hourMs = 3_600_000
+/** Default of `retentionMs`, in milliseconds. */
 export const defaultRetentionMs = 24 * hourMs
-export const defaultFinishedMs = hourMs
-/** Share of the retention after which a program without any record counts as gone. */
-const idleShare = 0.75
-/** Share of the retention after which a program gets a snapshot. */
-const snapshotShare = 0.4
-/** Appends that may go at once after a quiet time. */
+/** Default of `idReuseDelayMs`, in milliseconds. */
+export const defaultIdReuseDelayMs = hourMs
+/** Share of the retention after which a program without any record counts as abandoned. */
+const idleTimeoutRatio = 0.75
+/** Default age of a program's base, as a share of the retention, at which a snapshot is due. */
+const snapshotAgeRatio = 0.4
+/** Burst size of the token bucket for appends. */
 const appendBurst = 4
+/** Most log records in a page. */
 const pageRecords = 256
+/** How long all log requests of a shard must have failed before the journal counts as unavailable, in milliseconds. */
 const unavailableAfterMs = 1000
-const closeWithinMs = 3000
+/** How long `close` waits for the queued records, in milliseconds. */
+const closeTimeoutMs = 3000
 
+/** Creates a journal. It reads nothing until it is first used. */
 export async function createJournal (options: JournalOptions): Promise<Journal> {
   const { h64 } = await xxhash()
   return new LogJournal(options, (text) => h64(text))
 }
 
-/** When an id may be begun again, from the times of the options. */
-export function foldRulesOf (retentionMs: number, finishedMs: number): programState.FoldRules {
-  const idleTimeoutMs = retentionMs * idleShare
-  return { idleTimeoutMs, reuseDelayMs: Math.min(finishedMs, idleTimeoutMs) }
+/** Computes when program ids may be begun again, from the options of the journal; all times in milliseconds. */
+export function createFoldRules (retentionMs: number, idReuseDelayMs: number): programState.FoldRules {
+  const idleTimeoutMs = retentionMs * idleTimeoutRatio
+  return { idleTimeoutMs, reuseDelayMs: Math.min(idReuseDelayMs, idleTimeoutMs) }
 }
 
 class LogJournal implements Journal {
   private readonly shards: readonly Shard[]
   private readonly bucket: tokenBucket.TokenBucket
-  private readonly counted = counters.createCounters()
-  private readonly loading = new Map<types.ProgramId, Promise<errors.Result<programState.ProgramState | undefined>>>()
+  private readonly journalCounters = counters.createCounters()
+  private readonly runningLoads = new Map<types.ProgramId, Promise<errors.Result<programState.ProgramState | undefined>>>()
   private readonly retentionMs: number
-  private closed = false
+  private isClosed = false
 
   constructor (private readonly options: JournalOptions, private readonly hash: (text: string) => bigint) {
     const { timers, maxAppendsPerSecond } = options
@@ -114,22 +125,22 @@
     this.shards = Array.from({ length: options.shards }, (_, index) => this.createShard(index))
   }
 
-  shardOf (program: types.ProgramId): number {
+  getShardIndex (program: types.ProgramId): number {
     return Number(this.hash(program) % BigInt(this.options.shards))
   }
 
-  streamOf (shard: number): types.StreamName {
+  getStreamName (shard: number): types.StreamName {
     return `journal-${shard}` as types.StreamName
   }
 
-  async append (record: types.JournalRecord): Promise<errors.Result<pendings.Appended>> {
-    if (this.closed) return errors.fail(failures.shuttingDown('notRun'))
+  async append (record: types.JournalRecord): Promise<errors.Result<pendings.AppendOutcome>> {
+    if (this.isClosed) return errors.fail(failures.shuttingDown('notRun'))
     const checked = programState.checkRecord(record)
-    if (!checked.ok) return errors.fail(failures.wrongRecord(checked.failure.field, checked.failure.message))
+    if (!checked.ok) return errors.fail(failures.invalidRecord(checked.failure.field, checked.failure.message))
     const text = programState.encodeRecord(record)
     const bytes = Buffer.byteLength(text)
     if (bytes > this.options.maxBatchBytes) return errors.fail(failures.recordTooLarge(bytes, this.options.maxBatchBytes))
-    return await this.shardFor(record.program).writer.append(record, text)
+    return await this.getShard(record.program).writer.append(record, text)
   }
 
   async catchUp (shard: number): Promise<errors.Result<void>> {
@@ -137,10 +148,10 @@
   }
 
   async readHead (program: types.ProgramId): Promise<errors.Result<Head | undefined>> {
-    const { fold, reader } = this.shardFor(program)
+    const { fold, reader } = this.getShard(program)
     const read = await reader.catchUp()
     if (!read.ok) return read
-    const chain = fold.heads.chainOf(program)
+    const chain = fold.heads.getChain(program)
     if (chain === undefined) return errors.ok(undefined)
     if (chain.current === undefined) return errors.fail(failures.historyIncomplete(program))
     const { term, n, home, finished } = chain.current
@@ -148,70 +159,70 @@
   }
 
   async load (program: types.ProgramId): Promise<errors.Result<programState.ProgramState | undefined>> {
-    const loading = this.loading.get(program) ?? this.startLoad(program)
+    const loading = this.runningLoads.get(program) ?? this.startLoad(program)
     return await loading
   }
 
   release (program: types.ProgramId): void {
-    const { fold } = this.shardFor(program)
-    fold.locals.delete(program)
-    fold.forgetGivenUp(program)
+    const { fold } = this.getShard(program)
+    fold.localViews.delete(program)
+    fold.untrackFailed(program)
   }
 
   planSnapshots (now: types.EpochMs): types.ProgramId[] {
-    const dueBefore = now - (this.options.snapshotMs ?? this.retentionMs * snapshotShare)
+    const dueBefore = now - (this.options.snapshotMs ?? this.retentionMs * snapshotAgeRatio)
     return this.shards
-      .flatMap(({ fold }) => [...fold.locals.keys()].map((program) => ({ program, head: fold.heads.chainOf(program)?.current })))
+      .flatMap(({ fold }) => [...fold.localViews.keys()].map((program) => ({ program, head: fold.heads.getChain(program)?.current })))
       .filter(({ head }) => head !== undefined && head.finished === null && head.baseAt <= dueBefore)
       .sort((a, b) => a.head!.baseAt - b.head!.baseAt)
       .map(({ program }) => program)
   }
 
   isAvailable (): boolean {
-    return this.shards.every(({ writer }) => writer.failingMs() < unavailableAfterMs)
+    return this.shards.every(({ writer }) => writer.getFailingMs() < unavailableAfterMs)
   }
 
   getCounters (): Readonly<counters.JournalCounters> & counters.JournalSizes {
     const folds = this.shards.map(({ fold }) => fold)
     return {
-      ...this.counted,
+      ...this.journalCounters,
       heads: folds.reduce((sum, { heads }) => sum + heads.size, 0),
-      localPrograms: folds.reduce((sum, { locals }) => sum + locals.size, 0)
+      localPrograms: folds.reduce((sum, { localViews }) => sum + localViews.size, 0)
     }
   }
 
   async close (): Promise<void> {
-    this.closed = true
-    await Promise.all(this.shards.map(({ writer }) => writer.close(closeWithinMs)))
+    this.isClosed = true
+    await Promise.all(this.shards.map(({ writer }) => writer.close(closeTimeoutMs)))
     this.bucket.close()
   }
 
   private startLoad (program: types.ProgramId): Promise<errors.Result<programState.ProgramState | undefined>> {
-    const loading = this.loadNow(program).finally(() => { this.loading.delete(program) })
-    this.loading.set(program, loading)
+    const loading = this.catchUpAndLoad(program).finally(() => { this.runningLoads.delete(program) })
+    this.runningLoads.set(program, loading)
     return loading
   }
 
-  private async loadNow (program: types.ProgramId): Promise<errors.Result<programState.ProgramState | undefined>> {
-    const { fold, reader } = this.shardFor(program)
+  private async catchUpAndLoad (program: types.ProgramId): Promise<errors.Result<programState.ProgramState | undefined>> {
+    const { fold, reader } = this.getShard(program)
     const read = await reader.catchUp()
     if (!read.ok) return read
-    const local = programState.getCompleteState(fold.locals.get(program))
+    const local = programState.getCompleteState(fold.localViews.get(program))
     if (local !== undefined) return errors.ok(local)
     return await loads.loadProgram(fold, reader, program)
   }
 
-  private shardFor (program: types.ProgramId): Shard {
-    return this.shards[this.shardOf(program)]!
+  private getShard (program: types.ProgramId): Shard {
+    return this.shards[this.getShardIndex(program)]!
   }
 
   private createShard (index: number): Shard {
-    const { log, timers, logger, onSuperseded, maxBatchBytes, patienceMs, finishedMs = defaultFinishedMs, random = Math.random } = this.options
-    const { bucket, counted } = this
-    const stream = this.streamOf(index)
-    const fold = new shardFold.ShardFold({ rules: foldRulesOf(this.retentionMs, finishedMs), counters: counted, logger, onSuperseded })
-    const reader = new shardReader.ShardReader({ log, stream, fold, counters: counted, logger, timers, retentionMs: this.retentionMs, pageRecords })
-    const writer = new shardWriter.ShardWriter({ log, stream, fold, reader, bucket, timers, counters: counted, maxBatchBytes, patienceMs, random })
+    const { log, timers, logger, onSuperseded, maxBatchBytes, patienceMs, idReuseDelayMs = defaultIdReuseDelayMs, random = Math.random } = this.options
+    const { bucket, journalCounters } = this
+    const stream = this.getStreamName(index)
+    const fold = new shardFold.ShardFold({ rules: createFoldRules(this.retentionMs, idReuseDelayMs), counters: journalCounters, logger, onSuperseded })
+    const reader = new shardReader.ShardReader({ log, stream, fold, counters: journalCounters, logger, timers, retentionMs: this.retentionMs, pageRecords })
+    const writer = new shardWriter.ShardWriter({ log, stream, fold, reader, bucket, timers, counters: journalCounters, maxBatchBytes, appendTimeoutMs: patienceMs, random })
     return { fold, reader, writer }
   }
 }
--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -133,7 +133,7 @@
 function readLog (log: testLog.TestLog, shards: number) {
   const effects = new Map<string, programState.Effect>()
   const views = new Map<types.ProgramId, programState.ProgramView>()
-  const rules = appendJournal.foldRulesOf(retentionMs, finishedMs)
+  const rules = appendJournal.createFoldRules(retentionMs, finishedMs)
   for (let shard = 0; shard < shards; shard += 1) {
     for (const { offset, at, data } of log.recordsOf(`journal-${shard}` as types.StreamName)) {
       const batch = programState.parseBatch(data)
--- a/packages/state/append-journal/src/shard-fold.ts
+++ b/packages/state/append-journal/src/shard-fold.ts
@@ -1,126 +1,127 @@
-/** One journal stream as this process has read it: the index, local programs and the fate of own records. */
+/** Fold of one journal stream: the index, the states of local programs and the outcomes of the records that this process appends. */
 import type * as logger from '@eelgrasswind/logger'
 import * as programState from '@eelgrasswind/program-state'
 import * as types from '@eelgrasswind/types'
 import type * as counters from './counters.js'
-import * as heads from './heads.js'
+import * as headIndex from './head-index.js'
 import * as pendings from './pending-record.js'
 
 export interface ShardFoldOptions {
   readonly rules: programState.FoldRules
   readonly counters: counters.JournalCounters
   readonly logger: logger.Logger
-  /** Another process has become the home of a local program, or its state can't be known any more. */
+  /** Called when a local program is dropped, because another process has become its home or its state can't be known any more. */
   readonly onSuperseded: (program: types.ProgramId) => void
 }
 
+/** Folds the records of one shard in log order. Nothing here does I/O. */
 export class ShardFold {
-  readonly heads = new heads.Heads()
-  /** Programs whose whole state is kept here. */
-  readonly locals = new Map<types.ProgramId, programState.ProgramView>()
+  readonly heads = new headIndex.HeadIndex()
+  /** Views of the local programs, whose whole state is kept in this process. */
+  readonly localViews = new Map<types.ProgramId, programState.ProgramView>()
   /** Offset of the next log record to fold. */
-  next = 0 as types.LogOffset
-  /** Log time of the newest record. */
+  nextOffset = 0 as types.LogOffset
+  /** Log time of the last folded record. */
   newestAt = 0 as types.EpochMs
-  /** No record that this process has not read is younger, by the log's clock; undefined where it has read all there ever were. */
+  /** Log time up to which records may exist that this process has not read; undefined if it has read the stream from its first record. */
   private coveredSince: types.EpochMs | undefined
-  /** Own records that may land, or have landed, and whose writers don't know it. */
-  private readonly expected = new Map<types.ProgramId, pendings.PendingRecord[]>()
+  /** Records of this process that are or may be appended, and whose writers don't know the outcome. */
+  private readonly tracked = new Map<types.ProgramId, pendings.PendingRecord[]>()
 
   constructor (private readonly options: ShardFoldOptions) {}
 
-  /** Folds the records of the log record at `next`. */
-  fold (at: types.EpochMs, records: readonly types.JournalRecord[]): void {
-    const offset = this.next
+  /** Folds the batch at `nextOffset` and advances. `at` is its log time. */
+  foldNext (at: types.EpochMs, records: readonly types.JournalRecord[]): void {
+    const offset = this.nextOffset
     if (this.coveredSince !== undefined && at < this.coveredSince) this.coveredSince = at
     const context = { at, coveredSince: this.coveredSince, rules: this.options.rules }
     for (const [index, record] of records.entries()) this.foldRecord(record, types.positionOf(offset, index), context)
     this.newestAt = at
-    this.next = offset + 1 as types.LogOffset
+    this.nextOffset = offset + 1 as types.LogOffset
     this.options.counters.recordsFolded += records.length
   }
 
   /**
-   * Goes on at a later offset, as the records before it have expired unread: nothing known so far can be trusted.
-   * They were all older than `expiredBefore`.
+   * Continues at a later offset after records were skipped or expired unread. Drops the index and all local
+   * programs, because they may be out of date. All unread records are older than `expiredBefore`, a log time.
    */
   restartAt (offset: types.LogOffset, expiredBefore: types.EpochMs): void {
     this.heads.clear()
-    const lost = [...this.locals.keys()]
-    this.locals.clear()
-    this.next = offset
+    const lostPrograms = [...this.localViews.keys()]
+    this.localViews.clear()
+    this.nextOffset = offset
     this.coveredSince = expiredBefore
-    for (const program of lost) this.options.onSuperseded(program)
+    for (const program of lostPrograms) this.options.onSuperseded(program)
   }
 
-  /** Keeps the state of a program up to date from now on. */
-  keep (program: types.ProgramId, view: programState.ProgramView): void {
-    this.locals.set(program, view)
+  /** Makes a program local: its state is kept up to date from now on. */
+  keepLocal (program: types.ProgramId, view: programState.ProgramView): void {
+    this.localViews.set(program, view)
   }
 
-  /** The copies of a record that are read from now on decide its fate. */
-  expect (pending: pendings.PendingRecord): void {
+  /** Starts to track a record, so that copies of it that are read determine its outcome. */
+  track (pending: pendings.PendingRecord): void {
     const { program } = pending.record
-    this.expected.set(program, [...this.expected.get(program) ?? [], pending])
+    this.tracked.set(program, [...this.tracked.get(program) ?? [], pending])
   }
 
-  /** The fate of a record is known, or it can't land. */
-  forget (pending: pendings.PendingRecord): void {
+  /** Stops tracking a record whose outcome is known or that can't be appended any more. */
+  untrack (pending: pendings.PendingRecord): void {
     const { program } = pending.record
-    const rest = this.expected.get(program)?.filter((other) => other !== pending) ?? []
-    if (rest.length > 0) this.expected.set(program, rest)
-    else this.expected.delete(program)
+    const remaining = this.tracked.get(program)?.filter((other) => other !== pending) ?? []
+    if (remaining.length > 0) this.tracked.set(program, remaining)
+    else this.tracked.delete(program)
   }
 
-  /** Forgets the records of a program that were given up. */
-  forgetGivenUp (program: types.ProgramId): void {
-    for (const pending of this.expected.get(program) ?? []) {
-      if (!pending.open) this.forget(pending)
+  /** Stops tracking the records of a program whose writers no longer wait for them. */
+  untrackFailed (program: types.ProgramId): void {
+    for (const pending of this.tracked.get(program) ?? []) {
+      if (!pending.isAwaited) this.untrack(pending)
     }
   }
 
-  /** The same own record, where its writer has not heard of its fate. */
-  findCopy (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
-    return this.expected.get(record.program)?.find((pending) => pendings.samePlace(pending.record, record) && pending.text === text)
+  /** Finds a tracked record that is the same as this one. */
+  findDuplicate (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
+    return this.tracked.get(record.program)?.find((pending) => pendings.hasSameSequenceNumber(pending.record, record) && pending.text === text)
   }
 
-  /** Another own record that may hold the place of this one in the chain. */
-  findRival (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
-    return this.expected.get(record.program)?.find((pending) => pendings.samePlace(pending.record, record) && pending.text !== text && pendings.mayHoldPlace(pending))
+  /** Finds another tracked record that holds, or may hold, the sequence number of this one. */
+  findConflict (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
+    return this.tracked.get(record.program)?.find((pending) => pendings.hasSameSequenceNumber(pending.record, record) && pending.text !== text && pendings.canHoldSequenceNumber(pending))
   }
 
   private foldRecord (record: types.JournalRecord, position: types.Term, context: programState.ReadContext): void {
     const chainEffect = this.heads.apply(record, position, context)
-    const own = this.matchExpected(record)
-    const isLocal = this.locals.has(record.program)
+    const own = this.matchTracked(record)
+    const isLocal = this.localViews.has(record.program)
     const effect = isLocal ? this.foldLocal(record, position, context, own !== undefined) : chainEffect
-    if (own !== undefined && !isLocal && effect.type === 'applied') this.keepBegun(record, position, context.at)
-    if (own !== undefined) pendings.noteCopy(own, position, effect)
+    if (own !== undefined && !isLocal && effect.type === 'applied') this.keepBegunLocal(record, position, context.at)
+    if (own !== undefined) pendings.addCopy(own, position, effect)
   }
 
-  private matchExpected (record: types.JournalRecord): pendings.PendingRecord | undefined {
-    const expected = this.expected.get(record.program)
-    return expected?.find((pending) => pending.record === record) ?? (expected && this.findCopy(record, programState.encodeRecord(record)))
+  private matchTracked (record: types.JournalRecord): pendings.PendingRecord | undefined {
+    const candidates = this.tracked.get(record.program)
+    return candidates?.find((pending) => pending.record === record) ?? (candidates && this.findDuplicate(record, programState.encodeRecord(record)))
   }
 
-  /** The effect on a local program, which judges the content too. */
-  private foldLocal (record: types.JournalRecord, position: types.Term, context: programState.ReadContext, own: boolean): programState.Effect {
+  /** Applies a record to a local program and returns the effect, which unlike that of the index depends on the content too. */
+  private foldLocal (record: types.JournalRecord, position: types.Term, context: programState.ReadContext, isOwn: boolean): programState.Effect {
     const { program } = record
-    const known = this.locals.get(program)
+    const known = this.localViews.get(program)
     const { effect } = programState.applyRecord(known, record, position, context)
-    if (effect.type === 'incomplete') this.options.logger.error({ program, position }, 'a record contradicts the state of its program')
-    const taken = effect.type === 'applied' && (record.type === 'claim' || record.type === 'begin') && !own
-    if (taken || effect.type === 'incomplete') this.drop(program)
+    if (effect.type === 'incomplete') this.options.logger.error({ program, position }, 'journal record contradicts the state of its program; the program is released')
+    const isTakenOver = effect.type === 'applied' && (record.type === 'claim' || record.type === 'begin') && !isOwn
+    if (isTakenOver || effect.type === 'incomplete') this.dropLocal(program)
     return effect
   }
 
-  private keepBegun (record: types.JournalRecord, position: types.Term, at: types.EpochMs): void {
+  private keepBegunLocal (record: types.JournalRecord, position: types.Term, at: types.EpochMs): void {
     const view = record.type === 'begin' ? programState.createViewFromBase(record, position, at) : undefined
-    if (view !== undefined) this.keep(record.program, view)
+    if (view !== undefined) this.keepLocal(record.program, view)
   }
 
-  private drop (program: types.ProgramId): void {
-    this.locals.delete(program)
+  private dropLocal (program: types.ProgramId): void {
+    this.localViews.delete(program)
     this.options.onSuperseded(program)
   }
 }
--- a/packages/state/append-journal/src/shard-reader.ts
+++ b/packages/state/append-journal/src/shard-reader.ts
@@ -1,4 +1,4 @@
-/** Reads one journal stream forward into its fold. One read at a time, so that every record is folded once and in order. */
+/** Reads one journal stream and folds it. Reads run one at a time, so that every record is folded once and in order. */
 import * as errors from '@eelgrasswind/errors'
 import type * as logClient from '@eelgrasswind/log-client'
 import type * as logger from '@eelgrasswind/logger'
@@ -16,56 +16,57 @@
   readonly counters: counters.JournalCounters
   readonly logger: logger.Logger
   readonly timers: timerService.TimerService
-  /** The log keeps records for so long at least, in milliseconds. */
+  /** Records older than this are not needed, in milliseconds; the log keeps records at least this long. */
   readonly retentionMs: number
-  /** Most log records of a page. */
+  /** Most log records in a page. */
   readonly pageRecords: number
 }
 
-/** An own append that landed. */
-export interface Landed {
+/** A batch that this process has appended to the log. */
+export interface AppendedBatch {
   readonly offset: types.LogOffset
   readonly at: types.EpochMs
   readonly records: readonly types.JournalRecord[]
 }
 
+/** Reads a stream up to its end, or up to a batch that this process has appended. */
 export class ShardReader {
-  /** Set once the stream holds a batch that this process can't read: nothing after it can be judged. */
-  private blocked: errors.Failure | undefined
-  /** The last of the reads that follow one another. */
-  private reading: Promise<unknown> = Promise.resolve()
+  /** Set once the stream holds a batch that this process can't parse, because the effects of later records are then unknown. */
+  private blockingFailure: errors.Failure | undefined
+  /** The last queued read; the next one starts after it. */
+  private lastRead: Promise<unknown> = Promise.resolve()
   private isReading = false
-  private started = false
-  /** A catch-up that has not begun to read yet, which later callers share. */
-  private queued: Promise<errors.Result<void>> | undefined
+  private hasStarted = false
+  /** A catch-up that has not started to read yet; later callers share it. */
+  private queuedCatchUp: Promise<errors.Result<void>> | undefined
 
   constructor (private readonly options: ShardReaderOptions) {}
 
-  /** Folds every record that the log held when this was called. */
+  /** Folds at least every record that the log holds when this is called. */
   catchUp (): Promise<errors.Result<void>> {
-    this.queued ??= this.inTurn(() => {
-      this.queued = undefined
+    this.queuedCatchUp ??= this.enqueueRead(() => {
+      this.queuedCatchUp = undefined
       return this.readToEnd()
     })
-    return this.queued
+    return this.queuedCatchUp
   }
 
-  /** Folds an own append, and before it whatever others wrote since the last read. */
-  async land (landed: Landed): Promise<errors.Result<void>> {
+  /** Folds a batch that this process appended, after reading what other processes appended before it. */
+  async foldAppended (appended: AppendedBatch): Promise<errors.Result<void>> {
     const { fold } = this.options
-    if (this.blocked === undefined && !this.isReading && fold.next === landed.offset) {
-      fold.fold(landed.at, landed.records)
+    if (this.blockingFailure === undefined && !this.isReading && fold.nextOffset === appended.offset) {
+      fold.foldNext(appended.at, appended.records)
       return errors.ok(undefined)
     }
-    return await this.inTurn(() => this.readUpTo(landed))
+    return await this.enqueueRead(() => this.readUpToAppended(appended))
   }
 
-  /** Why nothing can be read any more, if so. */
-  failure (): errors.Failure | undefined {
-    return this.blocked
+  /** Returns the failure that blocks the stream, if any. */
+  getBlockingFailure (): errors.Failure | undefined {
+    return this.blockingFailure
   }
 
-  /** Reads a page of the stream; counts it. */
+  /** Reads a page of the stream and updates the counters. */
   async readPage (from: types.LogOffset, limit: number): Promise<errors.Result<logClient.LogPage>> {
     const { log, stream, counters } = this.options
     counters.reads += 1
@@ -75,8 +76,8 @@
     return page
   }
 
-  private inTurn<T> (read: () => Promise<T>): Promise<T> {
-    const turn = this.reading.then(async () => {
+  private enqueueRead<T> (read: () => Promise<T>): Promise<T> {
+    const result = this.lastRead.then(async () => {
       this.isReading = true
       try {
         return await read()
@@ -84,92 +85,92 @@
         this.isReading = false
       }
     })
-    this.reading = turn.catch(() => undefined)
-    return turn
+    this.lastRead = result.catch(() => undefined)
+    return result
   }
 
   private async readToEnd (): Promise<errors.Result<void>> {
     const { fold, pageRecords } = this.options
     for (;;) {
-      const page = await this.readOn(pageRecords)
+      const page = await this.readNextPage(pageRecords)
       if (!page.ok) return page
-      if (fold.next >= page.value.next) return errors.ok(undefined)
+      if (fold.nextOffset >= page.value.next) return errors.ok(undefined)
     }
   }
 
-  private async readUpTo (landed: Landed): Promise<errors.Result<void>> {
+  private async readUpToAppended (appended: AppendedBatch): Promise<errors.Result<void>> {
     const { fold, pageRecords } = this.options
-    while (fold.next < landed.offset) {
-      const page = await this.readOn(Math.min(pageRecords, landed.offset - fold.next))
+    while (fold.nextOffset < appended.offset) {
+      const page = await this.readNextPage(Math.min(pageRecords, appended.offset - fold.nextOffset))
       if (!page.ok) return page
     }
-    // A catch-up may have read past it meanwhile.
-    if (fold.next === landed.offset) fold.fold(landed.at, landed.records)
+    // A catch-up may have read past the batch in the meantime.
+    if (fold.nextOffset === appended.offset) fold.foldNext(appended.at, appended.records)
     return errors.ok(undefined)
   }
 
-  /** Skips the records that are too old to matter, once. */
-  private async start (): Promise<errors.Result<void>> {
+  /** Skips records older than the retention; does nothing after the first successful run. */
+  private async skipOldRecords (): Promise<errors.Result<void>> {
     const { fold } = this.options
-    if (this.started || fold.next > 0) return errors.ok(undefined)
-    const oldest = this.oldest()
-    const found = await startFinder.findStart((from, limit) => this.readPage(from, limit), oldest)
+    if (this.hasStarted || fold.nextOffset > 0) return errors.ok(undefined)
+    const oldestAt = this.getOldestRelevantAt()
+    const found = await startFinder.findStartOffset((from, limit) => this.readPage(from, limit), oldestAt)
     if (!found.ok) return found
-    if (found.value > 0) fold.restartAt(found.value, oldest)
-    this.started = true
+    if (found.value > 0) fold.restartAt(found.value, oldestAt)
+    this.hasStarted = true
     return errors.ok(undefined)
   }
 
-  /** Log time before which records may have expired, or are as good as that. */
-  private oldest (): types.EpochMs {
+  /** Returns the log time before which records count as expired. */
+  private getOldestRelevantAt (): types.EpochMs {
     const { timers, retentionMs } = this.options
     return timers.now() - retentionMs as types.EpochMs
   }
 
-  /** Reads and folds one page from the next offset on. */
-  private async readOn (limit: number): Promise<errors.Result<logClient.LogPage>> {
-    if (this.blocked !== undefined) return errors.fail(this.blocked)
-    const started = await this.start()
+  /** Reads and folds one page from the next offset. */
+  private async readNextPage (limit: number): Promise<errors.Result<logClient.LogPage>> {
+    if (this.blockingFailure !== undefined) return errors.fail(this.blockingFailure)
+    const started = await this.skipOldRecords()
     if (!started.ok) return started
     const { fold, logger, stream } = this.options
-    const page = await this.readPage(fold.next, limit)
+    const page = await this.readPage(fold.nextOffset, limit)
     if (!page.ok) return page
     const { first, records, next } = page.value
-    if (first > fold.next) {
-      logger.error({ stream, from: fold.next, first }, 'records expired before they were read')
-      fold.restartAt(first, this.oldest())
+    if (first > fold.nextOffset) {
+      logger.error({ stream, from: fold.nextOffset, first }, 'journal records expired before they were read')
+      fold.restartAt(first, this.getOldestRelevantAt())
     }
     for (const record of records) {
-      const folded = this.foldText(record)
+      const folded = this.foldLogRecord(record)
       if (!folded.ok) return folded
     }
-    if (records.length === 0 && fold.next < next) return errors.fail(emptyPage(stream))
+    if (records.length === 0 && fold.nextOffset < next) return errors.fail(createPageOrderFailure(stream))
     return page
   }
 
-  private foldText (record: logClient.LogRecord): errors.Result<void> {
+  private foldLogRecord (record: logClient.LogRecord): errors.Result<void> {
     const { fold, counters, logger, stream } = this.options
-    if (record.offset !== fold.next) return errors.fail(emptyPage(stream))
+    if (record.offset !== fold.nextOffset) return errors.fail(createPageOrderFailure(stream))
     const batch = programState.parseBatch(record.data)
     if (batch.ok) {
-      fold.fold(record.at, batch.value.records)
+      fold.foldNext(record.at, batch.value.records)
       return errors.ok(undefined)
     }
     const { tag, field, message } = batch.failure
     logger.error({ stream, offset: record.offset, tag, field }, message)
     if (tag !== 'notABatch') return errors.fail(this.block(record.offset, message))
     counters.foreignTexts += 1
-    fold.fold(record.at, [])
+    fold.foldNext(record.at, [])
     return errors.ok(undefined)
   }
 
-  /** Another version of this software may give the batch an effect, so to go on would be to guess. */
+  /** Blocks the stream. Another version of this software may apply the batch, so folding later records could give a wrong state. */
   private block (offset: types.LogOffset, message: string): errors.Failure {
-    this.blocked = { tag: 'internal', verdict: 'notRun', message: `${this.options.stream} at offset ${offset} can't be read: ${message}` }
-    return this.blocked
+    this.blockingFailure = { tag: 'internal', verdict: 'notRun', message: `cannot parse the batch in ${this.options.stream} at offset ${offset}: ${message}` }
+    return this.blockingFailure
   }
 }
 
-function emptyPage (stream: types.StreamName): errors.Failure {
-  return { tag: 'answerBroken', verdict: 'notRun', message: `the log answered with a page that does not go on where ${stream} was read to`, detail: 'page out of order' }
+function createPageOrderFailure (stream: types.StreamName): errors.Failure {
+  return { tag: 'answerBroken', verdict: 'notRun', message: `the log returned a page of ${stream} that does not start at the next offset`, detail: 'page out of order' }
 }
--- a/packages/state/append-journal/src/shard-writer.ts
+++ b/packages/state/append-journal/src/shard-writer.ts
@@ -1,4 +1,4 @@
-/** Appends to one journal stream: one batch in flight, the next one gathers meanwhile. */
+/** Appends to one journal stream, with one batch in flight. Records that arrive meanwhile form the next batch. */
 import * as errors from '@eelgrasswind/errors'
 import type * as logClient from '@eelgrasswind/log-client'
 import * as programState from '@eelgrasswind/program-state'
@@ -21,110 +21,114 @@
   readonly timers: timerService.TimerService
   readonly counters: counters.JournalCounters
   readonly maxBatchBytes: number
-  /** How long a record is tried before its writer is told, in milliseconds. */
-  readonly patienceMs: number
+  /** Timeout after which the append of a record fails, in milliseconds. */
+  readonly appendTimeoutMs: number
   readonly random: () => number
 }
 
 type Batch = readonly pendings.PendingRecord[]
-type Answer = errors.Result<pendings.Appended>
+type AppendResult = errors.Result<pendings.AppendOutcome>
 
-/** A batch landed and was folded, or was given up. */
-type Sent = errors.Result<void>
+/** Ok if the batch was appended and folded; otherwise the failure for its records that have no outcome. */
+type SendResult = errors.Result<void>
 
-/** Failures of an append that another attempt can't mend. */
+/** Failures of an append that are not retried, because another attempt would fail too. */
 const permanentTags: ReadonlySet<errors.FailureTag> = new Set(['bodyTooLarge', 'invalidRequest', 'unauthorized'])
 
-/** Time between questions to a log that failed, in milliseconds. */
-const probeMs = 500
+/** Interval between probes of a log that failed, in milliseconds. */
+const probeIntervalMs = 500
 
+/** Batches, sends and retries the records of one shard, and reports the outcome of each. */
 export class ShardWriter {
   private queue: pendings.PendingRecord[] = []
-  private batch: Batch = []
-  private waiting = false
-  private closing = false
+  private inFlightBatch: Batch = []
+  private isWaitingForToken = false
+  private isClosing = false
   private probe: timerService.Subscription | undefined
   private expiry: timerService.Subscription | undefined
-  /** Monotonic time of the first of the attempts that have failed in a row. */
+  /** Monotonic time of the first request in the current run of failed requests; undefined if the last one succeeded. */
   private failingSince: number | undefined
 
   constructor (private readonly options: ShardWriterOptions) {}
 
-  /** How long every attempt has failed, in milliseconds. */
-  failingMs (): number {
+  /** Returns for how long all requests to the log have failed, in milliseconds; 0 if the last one succeeded. */
+  getFailingMs (): number {
     return this.failingSince === undefined ? 0 : this.options.timers.monotonic() - this.failingSince
   }
 
-  append (record: types.JournalRecord, text: string): Promise<Answer> {
-    const { fold, timers, patienceMs } = this.options
-    const earlier = fold.findCopy(record, text)
-    if (earlier?.open === true) return earlier.done
-    const rival = earlier === undefined ? fold.findRival(record, text) : undefined
-    if (rival !== undefined) return this.refusePlace(rival, record)
-    const pending = pendings.createPending(record, text, timers.monotonic() + patienceMs)
-    if (earlier !== undefined) {
-      // A copy of the record given up may still land, or has: either copy decides.
-      fold.forget(earlier)
-      pending.mayLand = true
-      pending.seen = earlier.seen
-      earlier.replaced = true
+  append (record: types.JournalRecord, text: string): Promise<AppendResult> {
+    const { fold, timers, appendTimeoutMs } = this.options
+    const duplicate = fold.findDuplicate(record, text)
+    if (duplicate?.isAwaited === true) return duplicate.result
+    const conflict = duplicate === undefined ? fold.findConflict(record, text) : undefined
+    if (conflict !== undefined) return this.rejectConflicting(conflict, record)
+    const pending = pendings.createPendingRecord(record, text, timers.monotonic() + appendTimeoutMs)
+    if (duplicate !== undefined) {
+      // A copy of the earlier, failed append may be in the log or may still be appended; either copy determines the outcome.
+      fold.untrack(duplicate)
+      pending.mayBeAppended = true
+      pending.outcome = duplicate.outcome
+      duplicate.isReplaced = true
     }
-    fold.expect(pending)
+    fold.track(pending)
     this.enqueue(pending)
-    return pending.done
+    return pending.result
   }
 
-  /** Refuses a record whose place another one may hold, and has that one decided: its own writer may never ask again. */
-  private refusePlace (rival: pendings.PendingRecord, record: types.JournalRecord): Promise<Answer> {
-    if (!rival.open && !rival.resending && rival.seen === undefined) this.resend(rival)
-    return Promise.resolve(errors.fail(failures.placeTaken(record)))
+  /**
+   * Refuses a record whose sequence number another one holds or may hold. Sends the other one again if its outcome is
+   * unknown, because its own writer may never retry it.
+   */
+  private rejectConflicting (conflict: pendings.PendingRecord, record: types.JournalRecord): Promise<AppendResult> {
+    if (!conflict.isAwaited && !conflict.isResending && conflict.outcome === undefined) this.resend(conflict)
+    return Promise.resolve(errors.fail(failures.sequenceNumberTaken(record)))
   }
 
-  /** Sends a record that was given up once more; whichever copy lands first takes effect. */
+  /** Sends a failed record again to determine its outcome; the copy that is appended first takes effect. */
   private resend (pending: pendings.PendingRecord): void {
-    const { timers, patienceMs } = this.options
-    pending.resending = true
-    pending.deadline = timers.monotonic() + patienceMs
+    const { timers, appendTimeoutMs } = this.options
+    pending.isResending = true
+    pending.deadline = timers.monotonic() + appendTimeoutMs
     this.enqueue(pending)
   }
 
   private enqueue (pending: pendings.PendingRecord): void {
     this.queue.push(pending)
-    this.expireLater()
-    this.kick()
+    this.scheduleExpiry()
+    this.startNextBatch()
   }
 
-  /** Sends what is queued, for so long at most; then whatever is left fails. */
-  async close (withinMs: number): Promise<void> {
-    const all = [...this.batch, ...this.queue].map(({ done }) => done)
-    await Promise.race([Promise.all(all), timerService.sleep(this.options.timers, withinMs)])
-    this.closing = true
+  /** Waits up to `timeoutMs` milliseconds for the pending records; then fails those that have no result. */
+  async close (timeoutMs: number): Promise<void> {
+    const results = [...this.inFlightBatch, ...this.queue].map(({ result }) => result)
+    await Promise.race([Promise.all(results), timerService.sleep(this.options.timers, timeoutMs)])
+    this.isClosing = true
     this.expiry?.cancel()
     this.probe?.cancel()
-    for (const pending of [...this.batch, ...this.queue.splice(0)]) {
-      this.giveUp(pending, failures.shuttingDown(this.batch.includes(pending) ? 'mayHaveRun' : pendings.verdictOf(pending)))
+    for (const pending of [...this.inFlightBatch, ...this.queue.splice(0)]) {
+      this.failRecord(pending, failures.shuttingDown(this.inFlightBatch.includes(pending) ? 'mayHaveRun' : pendings.getVerdict(pending)))
     }
   }
 
-  private kick (): void {
-    if (this.waiting || this.batch.length > 0 || this.queue.length === 0 || this.closing) return
-    this.waiting = true
+  private startNextBatch (): void {
+    if (this.isWaitingForToken || this.inFlightBatch.length > 0 || this.queue.length === 0 || this.isClosing) return
+    this.isWaitingForToken = true
     this.options.bucket.take(() => {
-      this.waiting = false
+      this.isWaitingForToken = false
       void this.sendNext()
     })
   }
 
   private async sendNext (): Promise<void> {
-    this.batch = this.takeBatch()
-    const sent = this.batch.length > 0 ? await this.send(this.batch) : errors.ok(undefined)
-    const { batch } = this
-    this.batch = []
-    this.settle(batch, sent)
-    this.kick()
+    this.inFlightBatch = this.takeBatch()
+    const sent = this.inFlightBatch.length > 0 ? await this.send(this.inFlightBatch) : errors.ok(undefined)
+    const { inFlightBatch: batch } = this
+    this.inFlightBatch = []
+    this.settleBatch(batch, sent)
+    this.startNextBatch()
   }
 
-  /** The front of the queue, without the records that an earlier copy has settled. */
+  /** Takes the next batch from the queue. Settles records whose copy is already in the log and skips replaced ones. */
   private takeBatch (): Batch {
     const batch: pendings.PendingRecord[] = []
     let bytes = 0
@@ -133,144 +137,144 @@
       const isFull = bytes > this.options.maxBatchBytes || batch.length === types.maxBatchRecords
       if (isFull && batch.length > 0) break
       this.queue.shift()
-      if (pending.replaced) continue
-      if (pending.seen === undefined) batch.push(pending)
-      else this.settleOne(pending, errors.ok(undefined))
+      if (pending.isReplaced) continue
+      if (pending.outcome === undefined) batch.push(pending)
+      else this.settleRecord(pending, errors.ok(undefined))
     }
     return batch
   }
 
-  private async send (batch: Batch): Promise<Sent> {
+  private async send (batch: Batch): Promise<SendResult> {
     const text = programState.joinRecords(batch.map((pending) => pending.text))
     const deadline = Math.max(...batch.map((pending) => pending.deadline))
     this.options.counters.records += batch.length
     for (let attempt = 0; ; attempt += 1) {
-      const sent = await this.attempt(batch, text, deadline)
+      const sent = await this.tryAppend(batch, text, deadline)
       if (sent !== undefined) return sent
-      if (this.isOver(deadline)) return errors.fail(failures.logUnavailable('notRun'))
-      await this.pause(attempt, deadline)
-      if (await this.hasLanded(batch)) return errors.ok(undefined)
+      if (this.mustStop(deadline)) return errors.fail(failures.logUnavailable('notRun'))
+      await this.backOff(attempt, deadline)
+      if (await this.isInLog(batch)) return errors.ok(undefined)
       await new Promise<void>((resolve) => { this.options.bucket.take(resolve) })
     }
   }
 
-  /** One append of the batch; undefined where another attempt may help. */
-  private async attempt (batch: Batch, text: string, deadline: number): Promise<Sent | undefined> {
+  /** Sends one append request for the batch; undefined if a retry may succeed. */
+  private async tryAppend (batch: Batch, text: string, deadline: number): Promise<SendResult | undefined> {
     const { log, stream, reader, counters } = this.options
-    const blocked = reader.failure()
-    if (blocked !== undefined) return errors.fail(blocked)
+    const blockingFailure = reader.getBlockingFailure()
+    if (blockingFailure !== undefined) return errors.fail(blockingFailure)
     counters.appends += 1
     counters.bytesWritten += Buffer.byteLength(text)
     const appended = await log.append(stream, text)
-    this.noteAttempt(appended.ok)
-    if (appended.ok) return await this.land(batch, appended.value, deadline)
+    this.trackAvailability(appended.ok)
+    if (appended.ok) return await this.foldAppended(batch, appended.value, deadline)
     counters.failedAppends += 1
-    if (appended.failure.verdict !== 'notRun') markMayLand(batch)
+    if (appended.failure.verdict !== 'notRun') markMayBeAppended(batch)
     return permanentTags.has(appended.failure.tag) ? errors.fail(appended.failure) : undefined
   }
 
-  /** Folds a batch that landed; what others wrote before it is read first. */
-  private async land (batch: Batch, { offset, at }: logClient.LogAppended, deadline: number): Promise<Sent> {
+  /** Folds a batch that was appended, and retries while the records before it can't be read. */
+  private async foldAppended (batch: Batch, { offset, at }: logClient.LogAppended, deadline: number): Promise<SendResult> {
     const { reader } = this.options
     const records = batch.map(({ record }) => record)
-    markMayLand(batch)
+    markMayBeAppended(batch)
     for (let attempt = 0; ; attempt += 1) {
-      const landed = await reader.land({ offset, at, records })
-      this.noteAttempt(landed.ok)
-      if (landed.ok || reader.failure() !== undefined) return landed
-      if (this.isOver(deadline)) return errors.fail(failures.logUnavailable('mayHaveRun'))
-      await this.pause(attempt, deadline)
+      const folded = await reader.foldAppended({ offset, at, records })
+      this.trackAvailability(folded.ok)
+      if (folded.ok || reader.getBlockingFailure() !== undefined) return folded
+      if (this.mustStop(deadline)) return errors.fail(failures.logUnavailable('mayHaveRun'))
+      await this.backOff(attempt, deadline)
     }
   }
 
-  /** Whether a copy whose answer was lost is in the log by now. */
-  private async hasLanded (batch: Batch): Promise<boolean> {
-    if (!batch[0]!.mayLand) return false
+  /** Reads forward to find out whether an earlier attempt has appended the batch although it returned a failure. */
+  private async isInLog (batch: Batch): Promise<boolean> {
+    if (!batch[0]!.mayBeAppended) return false
     const read = await this.options.reader.catchUp()
-    this.noteAttempt(read.ok)
-    return batch.every(({ seen, replaced }) => seen !== undefined || replaced)
+    this.trackAvailability(read.ok)
+    return batch.every(({ outcome, isReplaced }) => outcome !== undefined || isReplaced)
   }
 
-  private settle (batch: Batch, sent: Sent): void {
-    for (const pending of batch) this.settleOne(pending, sent)
-    if (!sent.ok) this.failBehind(batch)
+  private settleBatch (batch: Batch, sent: SendResult): void {
+    for (const pending of batch) this.settleRecord(pending, sent)
+    if (!sent.ok) this.failQueuedBehind(batch)
   }
 
-  private settleOne (pending: pendings.PendingRecord, sent: Sent): void {
-    const { seen } = pending
-    if (seen === undefined) return this.giveUp(pending, sent.ok ? failures.expiredUnread(pending.record) : sent.failure)
-    // The writer of a record that was given up may still ask for its fate.
-    if (pending.open) this.options.fold.forget(pending)
-    pending.resending = false
-    pending.settle(errors.ok(seen))
+  private settleRecord (pending: pendings.PendingRecord, sent: SendResult): void {
+    const { outcome } = pending
+    if (outcome === undefined) return this.failRecord(pending, sent.ok ? failures.recordsExpired(pending.record) : sent.failure)
+    // A failed record stays tracked after it is sent again, because its writer may still retry it.
+    if (pending.isAwaited) this.options.fold.untrack(pending)
+    pending.isResending = false
+    pending.settle(errors.ok(outcome))
   }
 
-  /** Tells the writer; a record that may land is still expected, so that a later append of it finds out. */
-  private giveUp (pending: pendings.PendingRecord, failure: errors.Failure): void {
-    if (!pending.mayLand) this.options.fold.forget(pending)
-    pending.resending = false
-    pending.settle(errors.fail({ ...failure, verdict: pendings.verdictOf(pending) }))
+  /** Fails a record. One that may be appended stays tracked, so that appending it again returns its outcome. */
+  private failRecord (pending: pendings.PendingRecord, failure: errors.Failure): void {
+    if (!pending.mayBeAppended) this.options.fold.untrack(pending)
+    pending.isResending = false
+    pending.settle(errors.fail({ ...failure, verdict: pendings.getVerdict(pending) }))
   }
 
-  /** Records queued behind one that failed name a place that may stay empty, so they are not sent. */
-  private failBehind (batch: Batch): void {
-    const failed = new Set(batch.map(({ record }) => record.program))
-    this.failQueued((pending) => failed.has(pending.record.program))
+  /** Fails the queued records of the same programs without sending them, because the sequence number before theirs may stay unused. */
+  private failQueuedBehind (batch: Batch): void {
+    const failedPrograms = new Set(batch.map(({ record }) => record.program))
+    this.failQueued((pending) => failedPrograms.has(pending.record.program))
   }
 
   private failQueued (isFailed: (pending: pendings.PendingRecord) => boolean): void {
     const failed = this.queue.filter(isFailed)
     this.queue = this.queue.filter((pending) => !isFailed(pending))
-    for (const pending of failed) this.settleOne(pending, errors.fail(failures.logUnavailable('notRun')))
+    for (const pending of failed) this.settleRecord(pending, errors.fail(failures.logUnavailable('notRun')))
   }
 
-  private expireLater (): void {
+  private scheduleExpiry (): void {
     const oldest = this.queue[0]
     if (this.expiry !== undefined || oldest === undefined) return
     const { timers } = this.options
     this.expiry = timers.after(oldest.deadline - timers.monotonic(), () => {
       this.expiry = undefined
-      this.expire()
-      this.expireLater()
+      this.failExpired()
+      this.scheduleExpiry()
     })
   }
 
-  /** Gives up queued records whose time is over, and those of the same programs behind them. */
-  private expire (): void {
+  /** Fails queued records that are past their deadline, and all queued records of the same programs. */
+  private failExpired (): void {
     const now = this.options.timers.monotonic()
-    const late = new Set(this.queue.filter(({ deadline }) => deadline <= now).map(({ record }) => record.program))
-    if (late.size > 0) this.failQueued(({ record }) => late.has(record.program))
+    const expiredPrograms = new Set(this.queue.filter(({ deadline }) => deadline <= now).map(({ record }) => record.program))
+    if (expiredPrograms.size > 0) this.failQueued(({ record }) => expiredPrograms.has(record.program))
   }
 
-  private isOver (deadline: number): boolean {
-    return this.closing || this.options.timers.monotonic() >= deadline
+  private mustStop (deadline: number): boolean {
+    return this.isClosing || this.options.timers.monotonic() >= deadline
   }
 
-  private noteAttempt (ok: boolean): void {
-    if (ok) this.failingSince = undefined
+  private trackAvailability (isOk: boolean): void {
+    if (isOk) this.failingSince = undefined
     else this.failingSince ??= this.options.timers.monotonic()
-    if (!ok) this.probeLater()
+    if (!isOk) this.scheduleProbe()
   }
 
-  /** Asks the log from time to time while nothing is sent, so that an outage is not remembered for longer than it lasts. */
-  private probeLater (): void {
-    if (this.probe !== undefined || this.closing) return
-    this.probe = this.options.timers.after(probeMs, () => {
+  /** Probes a failing log while no batch is in flight, to notice when an outage has ended. */
+  private scheduleProbe (): void {
+    if (this.probe !== undefined || this.isClosing) return
+    this.probe = this.options.timers.after(probeIntervalMs, () => {
       this.probe = undefined
       if (this.failingSince === undefined) return
-      if (this.batch.length > 0) this.probeLater()
-      else void this.options.reader.catchUp().then((read) => this.noteAttempt(read.ok))
+      if (this.inFlightBatch.length > 0) this.scheduleProbe()
+      else void this.options.reader.catchUp().then((read) => this.trackAvailability(read.ok))
     })
   }
 
-  /** Waits before the next attempt; the last one comes when the time is over. */
-  private async pause (attempt: number, deadline: number): Promise<void> {
+  /** Waits before the next attempt, at most until the deadline. */
+  private async backOff (attempt: number, deadline: number): Promise<void> {
     const { timers, random } = this.options
-    const leftMs = Math.max(0, deadline - timers.monotonic())
-    await timerService.sleep(timers, Math.min(leftMs, backoff.backoffMs(attempt, random)))
+    const remainingMs = Math.max(0, deadline - timers.monotonic())
+    await timerService.sleep(timers, Math.min(remainingMs, backoff.computeBackoffMs(attempt, random)))
   }
 }
 
-function markMayLand (batch: Batch): void {
-  for (const pending of batch) pending.mayLand = true
+function markMayBeAppended (batch: Batch): void {
+  for (const pending of batch) pending.mayBeAppended = true
 }
--- a/packages/state/append-journal/src/token-bucket.ts
+++ b/packages/state/append-journal/src/token-bucket.ts
@@ -1,24 +1,25 @@
-/** Limits appends a second for the whole process; those who wait are served in the order of asking. */
+/** Token bucket that limits the appends per second of the whole process. Waiters get tokens in FIFO order. */
 import type * as timerService from '@eelgrasswind/timer-service'
 
 const msPerSecond = 1000
 
+/** Hands out tokens at a steady rate. */
 export class TokenBucket {
   private tokens: number
-  private filledAt: number
+  private refilledAt: number
   private readonly waiters: (() => void)[] = []
   private timer: timerService.Subscription | undefined
 
-  /** `burst` tokens may be used at once after a quiet time, so that a lone append goes at once. */
+  /** The bucket starts full and holds up to `burst` tokens, so that an append after an idle time does not wait. */
   constructor (private readonly timers: timerService.TimerService, private readonly perSecond: number, private readonly burst: number) {
     this.tokens = burst
-    this.filledAt = timers.monotonic()
+    this.refilledAt = timers.monotonic()
   }
 
-  /** Calls back once there is a token, at once if there is one now. */
-  take (run: () => void): void {
-    this.waiters.push(run)
-    this.serve()
+  /** Calls `onToken` when a token is available, synchronously if there is one now. */
+  take (onToken: () => void): void {
+    this.waiters.push(onToken)
+    this.serveWaiters()
   }
 
   close (): void {
@@ -26,30 +27,30 @@
     this.waiters.length = 0
   }
 
-  private serve (): void {
-    this.fill()
+  private serveWaiters (): void {
+    this.refill()
     while (this.tokens >= 1) {
-      const run = this.waiters.shift()
-      if (run === undefined) return
+      const onToken = this.waiters.shift()
+      if (onToken === undefined) return
       this.tokens -= 1
-      run()
+      onToken()
     }
-    if (this.waiters.length > 0) this.serveLater()
+    if (this.waiters.length > 0) this.scheduleServe()
   }
 
-  private fill (): void {
+  private refill (): void {
     const now = this.timers.monotonic()
-    this.tokens = Math.min(this.burst, this.tokens + (now - this.filledAt) / msPerSecond * this.perSecond)
-    this.filledAt = now
+    this.tokens = Math.min(this.burst, this.tokens + (now - this.refilledAt) / msPerSecond * this.perSecond)
+    this.refilledAt = now
   }
 
-  private serveLater (): void {
+  private scheduleServe (): void {
     if (this.timer !== undefined) return
-    // Rounded up, so that the token is there when the timer runs.
+    // Rounded up, so that a token is available when the timer fires.
     const waitMs = Math.max(1, Math.ceil((1 - this.tokens) / this.perSecond * msPerSecond))
     this.timer = this.timers.after(waitMs, () => {
       this.timer = undefined
-      this.serve()
+      this.serveWaiters()
     })
   }
 }
--- a/packages/state/program-state/src/batch.ts
+++ b/packages/state/program-state/src/batch.ts
@@ -17,6 +17,7 @@
   readonly message: string
 }
 
+/** Encodes records as the text of a batch. */
 export function encodeBatch (records: readonly types.JournalRecord[]): string {
   return joinRecords(records.map(encodeRecord))
 }
--- a/packages/state/program-state/src/chain.ts
+++ b/packages/state/program-state/src/chain.ts
@@ -77,6 +77,7 @@
   readonly applyContent: (head: P, record: LaterRecord, position: types.Term) => effects.Effect
 }
 
+/** The result of applying a record to a chain. */
 export interface ChainResult<P extends ChainHead> {
   /** Undefined while nothing is known about the program. */
   readonly chain: ChainView<P> | undefined
--- a/packages/state/program-state/src/effect.ts
+++ b/packages/state/program-state/src/effect.ts
@@ -29,6 +29,7 @@
   /** A turn whose key has an open intent for another call. */
   | 'intentMismatch'
 
+/** Whether a record took effect. */
 export type Effect =
   | { readonly type: 'applied' }
   | { readonly type: 'void', readonly reason: VoidReason }
--- a/packages/state/program-state/src/state.ts
+++ b/packages/state/program-state/src/state.ts
@@ -44,6 +44,7 @@
 /** What a reader knows about a program: its state, or candidates for it that are not confirmed yet. */
 export type ProgramView = chains.ChainView<ProgramState>
 
+/** The result of applying a record to a program. */
 export interface ApplyResult {
   /** Undefined while nothing is known about the program. The same object as was passed in, if there was one. */
   readonly view: ProgramView | undefined
