--- a/packages/state/append-journal/src/load-program.ts
+++ b/packages/state/append-journal/src/load-program.ts
@@ -3,7 +3,7 @@
 import * as programState from '@eelgrasswind/program-state'
 import * as types from '@eelgrasswind/types'
 import * as failures from './failures.js'
-import type * as headIndex from './head-index.js'
+import type * as heads from './heads.js'
 import type * as shardFold from './shard-fold.js'
 import type * as shardReader from './shard-reader.js'
 
@@ -42,7 +42,7 @@
 }
 
 function finishLoad (
-  fold: shardFold.ShardFold, program: types.ProgramId, head: headIndex.IndexedHead, records: ReadonlyMap<types.LogOffset, PositionedRecord[]>
+  fold: shardFold.ShardFold, program: types.ProgramId, head: heads.IndexedHead, records: ReadonlyMap<types.LogOffset, PositionedRecord[]>
 ): errors.Result<programState.ProgramState | undefined> {
   const positioned = head.offsets.flatMap((offset) => records.get(offset) ?? []).filter(({ position }) => position >= head.basePosition)
   const view = foldFromBase(positioned)
--- a/packages/state/append-journal/src/shard-fold.ts
+++ b/packages/state/append-journal/src/shard-fold.ts
@@ -3,7 +3,7 @@
 import * as programState from '@eelgrasswind/program-state'
 import * as types from '@eelgrasswind/types'
 import type * as counters from './counters.js'
-import * as headIndex from './head-index.js'
+import * as heads from './heads.js'
 import * as pendings from './pending-record.js'
 
 export interface ShardFoldOptions {
@@ -16,7 +16,7 @@
 
 /** Folds the records of one shard in log order. Nothing here does I/O. */
 export class ShardFold {
-  readonly heads = new headIndex.HeadIndex()
+  readonly heads = new heads.HeadIndex()
   /** Views of the local programs, whose whole state is kept in this process. */
   readonly localViews = new Map<types.ProgramId, programState.ProgramView>()
   /** Offset of the next log record to fold. */
