--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -11,72 +11,72 @@
 import * as testLog from './test-log.js'
 
 const retentionMs = 4000
-const finishedMs = 2400
+const idReuseDelayMs = 2400
 const programs = ['p1', 'p2', 'p3'].map(records.programId)
 
 const fault = fc.oneof(
   { weight: 4, arbitrary: fc.constant('none' as const) },
   fc.constantFrom('refuse' as const, 'loseAnswer' as const, 'lateCopy' as const, 'stall' as const)
 )
-/** One after another, the same fault several times. */
-function repeated<T> (kind: fc.Arbitrary<T>): fc.Arbitrary<T[]> {
+/** Generates a sequence of runs, each of which repeats one value. */
+function createRepeatedRuns<T> (kind: fc.Arbitrary<T>): fc.Arbitrary<T[]> {
   const runs = fc.array(fc.tuple(kind, fc.integer({ min: 1, max: 9 })), { maxLength: 20, size: 'max' })
   return runs.map((all) => all.flatMap(([value, times]) => new Array<T>(times).fill(value)))
 }
 const step = fc.record({
   writer: fc.nat(2),
   program: fc.nat(2),
-  act: fc.constantFrom('begin' as const, 'claim' as const, 'turn' as const, 'turn' as const, 'turns' as const, 'again' as const, 'snapshot' as const),
+  action: fc.constantFrom('begin' as const, 'claim' as const, 'turn' as const, 'turn' as const, 'turns' as const, 'again' as const, 'snapshot' as const),
   waitMs: fc.constantFrom(0, 0, 1, 5, 50, 400)
 })
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never
 const world = fc.record({
   steps: fc.array(step, { minLength: 15, maxLength: 50, size: 'max' }),
-  appendFaults: repeated(fault),
-  readFaults: repeated(fc.boolean())
+  appendFaults: createRepeatedRuns(fault),
+  readFaults: createRepeatedRuns(fc.boolean())
 })
 type World = typeof world extends fc.Arbitrary<infer T> ? T : never
 
-/** A process with a journal: it writes what its loaded states allow. */
+/** A process with a journal, which writes what the states that it has loaded allow. */
 interface Writer {
   readonly home: types.ProcessRef
   readonly journal: appendJournal.Journal
   readonly states: Map<types.ProgramId, programState.ProgramState>
 }
 
-interface Told {
+interface WriterResult {
   readonly writer: Writer
-  readonly outcome: errors.Result<appendJournal.Appended>
+  readonly outcome: errors.Result<appendJournal.AppendOutcome>
 }
 
 class Run {
   readonly timers = timerService.createManualTimers()
   readonly log = new testLog.TestLog({ timers: this.timers, latencyMs: 2, retentionMs })
-  /** What each record's writer was told last; the first word where that was ok. */
-  readonly told = new Map<types.JournalRecord, Told>()
-  readonly pending: Promise<unknown>[] = []
-  private made = 0
+  /** The last result of appending each record, or the first successful one. */
+  readonly results = new Map<types.JournalRecord, WriterResult>()
+  readonly runningActions: Promise<unknown>[] = []
+  private createdCount = 0
 
   async createWriter (name: string): Promise<Writer> {
-    const home = { host: name as types.HostId, incarnation: `${name}${this.made++}` as types.Incarnation }
+    const home = { host: name as types.HostId, incarnation: `${name}${this.createdCount++}` as types.Incarnation }
     const states: Writer['states'] = new Map()
     const onSuperseded = (program: types.ProgramId) => { states.delete(program) }
-    const silent = logger.createSilentLogger()
-    const limits = { shards: 2, maxAppendsPerSecond: 200, maxBatchBytes: 3000, patienceMs: 150, retentionMs, finishedMs }
-    const journal = await appendJournal.createJournal({ log: this.log, timers: this.timers, logger: silent, ...limits, random: () => 0.5, onSuperseded })
+    const silentLogger = logger.createSilentLogger()
+    const limits = { shards: 2, maxAppendsPerSecond: 200, maxBatchBytes: 3000, patienceMs: 150, retentionMs, idReuseDelayMs }
+    const journal = await appendJournal.createJournal({ log: this.log, timers: this.timers, logger: silentLogger, ...limits, random: () => 0.5, onSuperseded })
     return { home, journal, states }
   }
 
   async append (writer: Writer, record: types.JournalRecord): Promise<void> {
     const outcome = await writer.journal.append(record)
-    if (this.told.get(record)?.outcome.ok !== true) this.told.set(record, { writer, outcome })
+    if (this.results.get(record)?.outcome.ok !== true) this.results.set(record, { writer, outcome })
   }
 
-  async act (writer: Writer, program: types.ProgramId, act: Step['act']): Promise<void> {
+  async runAction (writer: Writer, program: types.ProgramId, action: Step['action']): Promise<void> {
     const state = writer.states.get(program)
-    const own = state !== undefined && programState.isSameProcess(state.home, writer.home) ? state : undefined
+    const ownState = state !== undefined && programState.isSameProcess(state.home, writer.home) ? state : undefined
     const at = this.timers.now()
-    switch (act) {
+    switch (action) {
       case 'begin':
         await this.append(writer, records.begin(program, writer.home, at))
         return await this.load(writer, program)
@@ -87,14 +87,14 @@
         return await this.load(writer, program)
       }
       case 'turn':
-        return own && await this.append(writer, this.turn(own, 1))
+        return ownState && await this.append(writer, this.createTurnRecord(ownState, 1))
       case 'turns':
-        if (own !== undefined) await Promise.all([1, 2, 3].map((ahead) => this.append(writer, this.turn(own, ahead))))
+        if (ownState !== undefined) await Promise.all([1, 2, 3].map((ahead) => this.append(writer, this.createTurnRecord(ownState, ahead))))
         return
       case 'snapshot':
-        return own && await this.append(writer, { type: 'snapshot', program, n: own.n + 1, term: own.term, state: programState.createSnapshot(own) })
+        return ownState && await this.append(writer, { type: 'snapshot', program, n: ownState.n + 1, term: ownState.term, state: programState.createSnapshot(ownState) })
       case 'again': {
-        const open = [...this.told].filter(([, told]) => told.writer === writer && !told.outcome.ok && told.outcome.failure.verdict === 'mayHaveRun')
+        const open = [...this.results].filter(([, result]) => result.writer === writer && !result.outcome.ok && result.outcome.failure.verdict === 'mayHaveRun')
         await Promise.all(open.map(([record]) => this.append(writer, record)))
       }
     }
@@ -105,37 +105,37 @@
     if (state.ok && state.value !== undefined) states.set(program, state.value)
   }
 
-  /** The record so many places ahead. */
-  private turn (state: programState.ProgramState, ahead: number): types.TurnRecord {
-    const place = { program: state.start.program, n: state.n + ahead, term: state.term }
-    const { turn, ...rest } = records.turn(place, state.turns.length + ahead, 'x')
-    return { ...rest, turn: { ...turn, key: `${place.program}/${this.made++}` as types.RequestKey } }
+  /** Creates the turn record that is `ahead` sequence numbers after the state. */
+  private createTurnRecord (state: programState.ProgramState, ahead: number): types.TurnRecord {
+    const position = { program: state.start.program, n: state.n + ahead, term: state.term }
+    const { turn, ...rest } = records.turn(position, state.turns.length + ahead, 'x')
+    return { ...rest, turn: { ...turn, key: `${position.program}/${this.createdCount++}` as types.RequestKey } }
   }
 }
 
-async function run ({ steps, appendFaults, readFaults }: World): Promise<{ run: Run, writers: Writer[] }> {
+async function runSchedule ({ steps, appendFaults, readFaults }: World): Promise<{ run: Run, writers: Writer[] }> {
   const run = new Run()
   const writers = await Promise.all(['a', 'b', 'c'].map((name) => run.createWriter(name)))
   run.log.appendFault = () => appendFaults.shift() ?? 'none'
   run.log.readFails = () => readFaults.shift() ?? false
-  for (const { writer, program, act, waitMs } of steps) {
-    run.pending.push(run.act(writers[writer]!, programs[program]!, act))
+  for (const { writer, program, action, waitMs } of steps) {
+    run.runningActions.push(run.runAction(writers[writer]!, programs[program]!, action))
     await run.timers.advanceAsync(waitMs)
   }
   run.log.appendFault = () => 'none'
   run.log.readFails = () => false
   await run.timers.advanceAsync(2000)
-  await Promise.all(run.pending)
+  await Promise.all(run.runningActions)
   return { run, writers }
 }
 
-/** Folds the whole log: the effect of each record's deciding copy, by text, and the states. */
+/** Folds the whole log and returns the final views, and for each record text the effect of the copy that was applied or else of the first one. */
 function readLog (log: testLog.TestLog, shards: number) {
   const effects = new Map<string, programState.Effect>()
   const views = new Map<types.ProgramId, programState.ProgramView>()
-  const rules = appendJournal.createFoldRules(retentionMs, finishedMs)
+  const rules = appendJournal.createFoldRules(retentionMs, idReuseDelayMs)
   for (let shard = 0; shard < shards; shard += 1) {
-    for (const { offset, at, data } of log.recordsOf(`journal-${shard}` as types.StreamName)) {
+    for (const { offset, at, data } of log.getRecords(`journal-${shard}` as types.StreamName)) {
       const batch = programState.parseBatch(data)
       if (!batch.ok) throw new Error(batch.failure.message)
       for (const [index, record] of batch.value.records.entries()) {
@@ -149,15 +149,15 @@
   return { effects, views }
 }
 
-function plain (state: programState.ProgramState | undefined): unknown {
+function toPlainState (state: programState.ProgramState | undefined): unknown {
   return state && { ...programState.createSnapshot(state), n: state.n }
 }
 
 const counts = { applied: 0, void: 0, notRun: 0, mayHaveRun: 0, claims: 0, loaded: 0, incomplete: 0 }
 
-function checkTold ({ run }: { run: Run }, effects: ReadonlyMap<string, programState.Effect>): void {
+function checkResults ({ run }: { run: Run }, effects: ReadonlyMap<string, programState.Effect>): void {
   const winners = new Set<string>()
-  for (const [record, { outcome }] of run.told) {
+  for (const [record, { outcome }] of run.results) {
     const effect = effects.get(programState.encodeRecord(record))
     if (outcome.ok && outcome.value.effect.type !== 'incomplete') assert.deepEqual(effect, outcome.value.effect)
     if (!outcome.ok && outcome.failure.verdict === 'notRun') assert.equal(effect, undefined)
@@ -169,33 +169,33 @@
   }
 }
 
-/** A reader has the state of the whole log or says that it can't know it; unknown are programs that are gone. */
-function checkLoaded ({ timers }: Run, result: errors.Result<programState.ProgramState | undefined>, truth: programState.ProgramState | undefined, kept: programState.ProgramState | undefined): void {
+/** Checks that a reader either has the state that the whole log gives, or reports it as incomplete. Only abandoned programs may be unknown. */
+function checkLoaded ({ timers }: Run, result: errors.Result<programState.ProgramState | undefined>, expected: programState.ProgramState | undefined, keptState: programState.ProgramState | undefined): void {
   if (!result.ok) {
     assert.equal(result.failure.tag, 'historyIncomplete')
     counts.incomplete += 1
     return
   }
   if (result.value === undefined) {
-    assert.ok(truth === undefined || timers.now() - truth.lastAppliedAt >= retentionMs * 0.75)
+    assert.ok(expected === undefined || timers.now() - expected.lastAppliedAt >= retentionMs * 0.75)
     return
   }
   counts.loaded += 1
-  assert.deepEqual(plain(result.value), plain(truth))
-  if (kept !== undefined) assert.deepEqual(plain(kept), plain(truth))
+  assert.deepEqual(toPlainState(result.value), toPlainState(expected))
+  if (keptState !== undefined) assert.deepEqual(toPlainState(keptState), toPlainState(expected))
 }
 
-tap.test('what appends report is what every reader finds', async (t) => {
-  const property = fc.asyncProperty(world, async (chosen) => {
-    const { run: ran, writers } = await run(chosen)
-    const { effects, views } = readLog(ran.log, 2)
-    checkTold({ run: ran }, effects)
-    const late = await ran.createWriter('late')
-    for (const { journal, states } of [...writers, late]) {
+tap.test('every reader finds the effects that appends report', async (t) => {
+  const property = fc.asyncProperty(world, async (chosenWorld) => {
+    const { run, writers } = await runSchedule(chosenWorld)
+    const { effects, views } = readLog(run.log, 2)
+    checkResults({ run }, effects)
+    const lateWriter = await run.createWriter('late')
+    for (const { journal, states } of [...writers, lateWriter]) {
       const loaded = Promise.all(programs.map((program) => journal.load(program)))
-      await ran.timers.advanceAsync(500)
+      await run.timers.advanceAsync(500)
       for (const [index, result] of (await loaded).entries()) {
-        checkLoaded(ran, result, programState.getCompleteState(views.get(programs[index]!)), states.get(programs[index]!))
+        checkLoaded(run, result, programState.getCompleteState(views.get(programs[index]!)), states.get(programs[index]!))
       }
     }
   })
--- a/packages/state/append-journal/src/test-log.ts
+++ b/packages/state/append-journal/src/test-log.ts
@@ -1,25 +1,28 @@
-/** A small log in memory with faults, for the tests and measurements of this package. */
+/** In-memory log with fault injection, for the tests and measurements of this package. */
 import * as errors from '@eelgrasswind/errors'
 import type * as logClient from '@eelgrasswind/log-client'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** What happens to one append. */
+/**
+ * What happens to one append. refuse: not appended, known to the client. loseAnswer: appended, but the client gets a
+ * timeout. lateCopy: appended after the client got a timeout. stall: never appended, and the client gets a timeout.
+ */
 export type AppendFault = 'none' | 'refuse' | 'loseAnswer' | 'lateCopy' | 'stall'
 
 export interface TestLogOptions {
   readonly timers: timerService.TimerService
-  /** Time that a request takes each way, in milliseconds; at 0 answers come at once. */
+  /** Latency of each direction of a request, in milliseconds; with 0, requests complete without a timer. */
   readonly latencyMs: number
   readonly appendFault?: () => AppendFault
   readonly readFails?: () => boolean
-  /** Readers no longer get older records, in milliseconds. */
+  /** Age at which records are no longer returned by reads, in milliseconds. */
   readonly retentionMs?: number
 }
 
-const timeoutMs = 50
-/** After this a late copy lands. */
-const lateMs = 400
+const requestTimeoutMs = 50
+/** Delay after which a late copy is appended, in milliseconds. */
+const lateCopyDelayMs = 400
 
 export class TestLog implements logClient.LogClient {
   appendFault: () => AppendFault
@@ -36,20 +39,20 @@
     await this.wait(this.options.latencyMs)
     switch (fault) {
       case 'refuse':
-        return errors.fail(unavailable('notRun'))
+        return errors.fail(createUnavailableFailure('notRun'))
       case 'stall':
-        await this.wait(timeoutMs)
-        return errors.fail(unavailable('mayHaveRun'))
+        await this.wait(requestTimeoutMs)
+        return errors.fail(createUnavailableFailure('mayHaveRun'))
       case 'lateCopy':
-        this.options.timers.after(lateMs, () => { this.put(stream, data) })
-        await this.wait(timeoutMs)
-        return errors.fail(unavailable('mayHaveRun'))
+        this.options.timers.after(lateCopyDelayMs, () => { this.appendDirectly(stream, data) })
+        await this.wait(requestTimeoutMs)
+        return errors.fail(createUnavailableFailure('mayHaveRun'))
       case 'loseAnswer':
-        this.put(stream, data)
-        await this.wait(timeoutMs)
-        return errors.fail(unavailable('mayHaveRun'))
+        this.appendDirectly(stream, data)
+        await this.wait(requestTimeoutMs)
+        return errors.fail(createUnavailableFailure('mayHaveRun'))
       case 'none': {
-        const { offset, at } = this.put(stream, data)
+        const { offset, at } = this.appendDirectly(stream, data)
         await this.wait(this.options.latencyMs)
         return errors.ok({ offset, at })
       }
@@ -60,9 +63,9 @@
 
   async read (stream: types.StreamName, from: types.LogOffset, { limit = 100 }: logClient.ReadOptions = {}): Promise<errors.Result<logClient.LogPage>> {
     await this.wait(this.options.latencyMs)
-    if (this.readFails()) return errors.fail(unavailable('notRun'))
-    const { records } = this.streamOf(stream)
-    const first = this.firstKept(stream)
+    if (this.readFails()) return errors.fail(createUnavailableFailure('notRun'))
+    const { records } = this.getStream(stream)
+    const first = this.getFirstOffset(stream)
     const start = Math.max(first, from)
     const page = { first, next: records.length as types.LogOffset, records: records.slice(start, start + limit) }
     await this.wait(this.options.latencyMs)
@@ -71,35 +74,35 @@
 
   async close (): Promise<void> {}
 
-  /** Writes without a client. */
-  put (stream: types.StreamName, data: string): logClient.LogRecord {
-    const { records } = this.streamOf(stream)
+  /** Appends synchronously, without latency or faults. */
+  appendDirectly (stream: types.StreamName, data: string): logClient.LogRecord {
+    const { records } = this.getStream(stream)
     const record = { offset: records.length as types.LogOffset, at: this.options.timers.now() as types.EpochMs, data }
     records.push(record)
     return record
   }
 
-  /** Readers no longer get the records before an offset. */
+  /** Makes the records before an offset unavailable to reads. */
   expire (stream: types.StreamName, before: number): void {
-    this.streamOf(stream).first = before as types.LogOffset
+    this.getStream(stream).first = before as types.LogOffset
   }
 
-  /** All records that there ever were. */
-  recordsOf (stream: types.StreamName): readonly logClient.LogRecord[] {
-    return this.streamOf(stream).records
+  /** Returns all records ever appended, expired ones included. */
+  getRecords (stream: types.StreamName): readonly logClient.LogRecord[] {
+    return this.getStream(stream).records
   }
 
-  private firstKept (stream: types.StreamName): types.LogOffset {
-    const held = this.streamOf(stream)
-    const oldest = this.options.timers.now() - (this.options.retentionMs ?? Infinity)
-    while (held.first < held.records.length && held.records[held.first]!.at < oldest) held.first = held.first + 1 as types.LogOffset
-    return held.first
+  private getFirstOffset (stream: types.StreamName): types.LogOffset {
+    const streamState = this.getStream(stream)
+    const oldestAt = this.options.timers.now() - (this.options.retentionMs ?? Infinity)
+    while (streamState.first < streamState.records.length && streamState.records[streamState.first]!.at < oldestAt) streamState.first = streamState.first + 1 as types.LogOffset
+    return streamState.first
   }
 
-  private streamOf (stream: types.StreamName) {
-    const held = this.streams.get(stream) ?? { first: 0 as types.LogOffset, records: [] }
-    this.streams.set(stream, held)
-    return held
+  private getStream (stream: types.StreamName) {
+    const streamState = this.streams.get(stream) ?? { first: 0 as types.LogOffset, records: [] }
+    this.streams.set(stream, streamState)
+    return streamState
   }
 
   private async wait (ms: number): Promise<void> {
@@ -107,6 +110,6 @@
   }
 }
 
-function unavailable (verdict: types.Verdict): errors.Failure {
+function createUnavailableFailure (verdict: types.Verdict): errors.Failure {
   return { tag: 'logUnavailable', verdict, message: 'the test log fails', retryAfterMs: 10 }
 }
--- a/packages/state/append-journal/src/test-records.ts
+++ b/packages/state/append-journal/src/test-records.ts
@@ -1,7 +1,7 @@
-/** Records for the tests and measurements of this package; not part of its public entry. */
+/** Builds records for the tests and measurements of this package; not exported by the package. */
 import type * as types from '@eelgrasswind/types'
 
-export type Place = Pick<types.JournalRecord, 'program' | 'n' | 'term'>
+export type ChainPosition = Pick<types.JournalRecord, 'program' | 'n' | 'term'>
 
 export const mainBranch = 'main' as types.BranchId
 
@@ -19,17 +19,17 @@
   return { type: 'begin', program, n: 1, term: 0 as types.Term, start, home, at: at as types.EpochMs }
 }
 
-export function claim (place: Place, home: types.ProcessRef, at: number): types.ClaimRecord {
-  return { ...place, type: 'claim', home, at: at as types.EpochMs }
+export function claim (position: ChainPosition, home: types.ProcessRef, at: number): types.ClaimRecord {
+  return { ...position, type: 'claim', home, at: at as types.EpochMs }
 }
 
-/** A model call whose messages and answer are `text` each. */
-export function turn (place: Place, seq: number, text: string): types.TurnRecord {
+/** Builds the record of a model call; `text` is the content of both its message and its answer. */
+export function turn (position: ChainPosition, seq: number, text: string): types.TurnRecord {
   return {
-    ...place,
+    ...position,
     type: 'turn',
     turn: {
-      key: `${place.program}-${seq}` as types.RequestKey,
+      key: `${position.program}-${seq}` as types.RequestKey,
       branch: mainBranch,
       seq,
       digest: 'a'.repeat(64),
@@ -44,6 +44,6 @@
   }
 }
 
-export function finish (place: Place): types.FinishRecord {
-  return { ...place, type: 'finish', result: 'done', at: 3 as types.EpochMs }
+export function finish (position: ChainPosition): types.FinishRecord {
+  return { ...position, type: 'finish', result: 'done', at: 3 as types.EpochMs }
 }
