--- a/packages/state/append-journal/src/journal.ts
+++ b/packages/state/append-journal/src/journal.ts
@@ -8,8 +8,8 @@
 import type * as types from '@eelgrasswind/types'
 import * as counters from './counters.js'
 import * as failures from './failures.js'
-import * as loads from './load-program.js'
-import type * as pendings from './pending-record.js'
+import * as programLoader from './load-program.js'
+import type * as pendingRecords from './pending-record.js'
 import * as shardFold from './shard-fold.js'
 import * as shardReader from './shard-reader.js'
 import * as shardWriter from './shard-writer.js'
@@ -52,7 +52,7 @@
    * with the verdict `mayHaveRun`, appending the same record again returns its outcome. Until that outcome is known,
    * any other record with the same sequence number is refused and causes the first one to be sent again.
    */
-  append: (record: types.JournalRecord) => Promise<errors.Result<pendings.AppendOutcome>>
+  append: (record: types.JournalRecord) => Promise<errors.Result<pendingRecords.AppendOutcome>>
   /** Reads and folds a shard up to its end. */
   catchUp: (shard: number) => Promise<errors.Result<void>>
   /** Catches up and returns the head of a program; undefined if it never began. Fails with historyIncomplete if that can't be known. */
@@ -133,7 +133,7 @@
     return `journal-${shard}` as types.StreamName
   }
 
-  async append (record: types.JournalRecord): Promise<errors.Result<pendings.AppendOutcome>> {
+  async append (record: types.JournalRecord): Promise<errors.Result<pendingRecords.AppendOutcome>> {
     if (this.isClosed) return errors.fail(failures.shuttingDown('notRun'))
     const checked = programState.checkRecord(record)
     if (!checked.ok) return errors.fail(failures.invalidRecord(checked.failure.field, checked.failure.message))
@@ -209,7 +209,7 @@
     if (!read.ok) return read
     const local = programState.getCompleteState(fold.localViews.get(program))
     if (local !== undefined) return errors.ok(local)
-    return await loads.loadProgram(fold, reader, program)
+    return await programLoader.loadProgram(fold, reader, program)
   }
 
   private getShard (program: types.ProgramId): Shard {
--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -26,7 +26,7 @@
 const step = fc.record({
   writer: fc.nat(2),
   program: fc.nat(2),
-  action: fc.constantFrom('begin' as const, 'claim' as const, 'turn' as const, 'turn' as const, 'turns' as const, 'again' as const, 'snapshot' as const),
+  action: fc.constantFrom('begin' as const, 'claim' as const, 'turn' as const, 'turn' as const, 'turns' as const, 'retry' as const, 'snapshot' as const),
   waitMs: fc.constantFrom(0, 0, 1, 5, 50, 400)
 })
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never
@@ -93,9 +93,9 @@
         return
       case 'snapshot':
         return ownState && await this.append(writer, { type: 'snapshot', program, n: ownState.n + 1, term: ownState.term, state: programState.createSnapshot(ownState) })
-      case 'again': {
-        const open = [...this.results].filter(([, result]) => result.writer === writer && !result.outcome.ok && result.outcome.failure.verdict === 'mayHaveRun')
-        await Promise.all(open.map(([record]) => this.append(writer, record)))
+      case 'retry': {
+        const undecided = [...this.results].filter(([, result]) => result.writer === writer && !result.outcome.ok && result.outcome.failure.verdict === 'mayHaveRun')
+        await Promise.all(undecided.map(([record]) => this.append(writer, record)))
       }
     }
   }
--- a/packages/state/append-journal/src/shard-fold.ts
+++ b/packages/state/append-journal/src/shard-fold.ts
@@ -4,7 +4,7 @@
 import * as types from '@eelgrasswind/types'
 import type * as counters from './counters.js'
 import * as heads from './heads.js'
-import * as pendings from './pending-record.js'
+import * as pendingRecords from './pending-record.js'
 
 export interface ShardFoldOptions {
   readonly rules: programState.FoldRules
@@ -26,7 +26,7 @@
   /** Log time up to which records may exist that this process has not read; undefined if it has read the stream from its first record. */
   private coveredSince: types.EpochMs | undefined
   /** Records of this process that are or may be appended, and whose writers don't know the outcome. */
-  private readonly tracked = new Map<types.ProgramId, pendings.PendingRecord[]>()
+  private readonly tracked = new Map<types.ProgramId, pendingRecords.PendingRecord[]>()
 
   constructor (private readonly options: ShardFoldOptions) {}
 
@@ -60,13 +60,13 @@
   }
 
   /** Starts to track a record, so that copies of it that are read determine its outcome. */
-  track (pending: pendings.PendingRecord): void {
+  track (pending: pendingRecords.PendingRecord): void {
     const { program } = pending.record
     this.tracked.set(program, [...this.tracked.get(program) ?? [], pending])
   }
 
   /** Stops tracking a record whose outcome is known or that can't be appended any more. */
-  untrack (pending: pendings.PendingRecord): void {
+  untrack (pending: pendingRecords.PendingRecord): void {
     const { program } = pending.record
     const remaining = this.tracked.get(program)?.filter((other) => other !== pending) ?? []
     if (remaining.length > 0) this.tracked.set(program, remaining)
@@ -81,13 +81,13 @@
   }
 
   /** Finds a tracked record that is the same as this one. */
-  findDuplicate (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
-    return this.tracked.get(record.program)?.find((pending) => pendings.hasSameSequenceNumber(pending.record, record) && pending.text === text)
+  findDuplicate (record: types.JournalRecord, text: string): pendingRecords.PendingRecord | undefined {
+    return this.tracked.get(record.program)?.find((pending) => pendingRecords.hasSameSequenceNumber(pending.record, record) && pending.text === text)
   }
 
   /** Finds another tracked record that holds, or may hold, the sequence number of this one. */
-  findConflict (record: types.JournalRecord, text: string): pendings.PendingRecord | undefined {
-    return this.tracked.get(record.program)?.find((pending) => pendings.hasSameSequenceNumber(pending.record, record) && pending.text !== text && pendings.canHoldSequenceNumber(pending))
+  findConflict (record: types.JournalRecord, text: string): pendingRecords.PendingRecord | undefined {
+    return this.tracked.get(record.program)?.find((pending) => pendingRecords.hasSameSequenceNumber(pending.record, record) && pending.text !== text && pendingRecords.canHoldSequenceNumber(pending))
   }
 
   private foldRecord (record: types.JournalRecord, position: types.Term, context: programState.ReadContext): void {
@@ -96,10 +96,10 @@
     const isLocal = this.localViews.has(record.program)
     const effect = isLocal ? this.foldLocal(record, position, context, own !== undefined) : chainEffect
     if (own !== undefined && !isLocal && effect.type === 'applied') this.keepBegunLocal(record, position, context.at)
-    if (own !== undefined) pendings.addCopy(own, position, effect)
+    if (own !== undefined) pendingRecords.addCopy(own, position, effect)
   }
 
-  private matchTracked (record: types.JournalRecord): pendings.PendingRecord | undefined {
+  private matchTracked (record: types.JournalRecord): pendingRecords.PendingRecord | undefined {
     const candidates = this.tracked.get(record.program)
     return candidates?.find((pending) => pending.record === record) ?? (candidates && this.findDuplicate(record, programState.encodeRecord(record)))
   }
--- a/packages/state/append-journal/src/shard-writer.ts
+++ b/packages/state/append-journal/src/shard-writer.ts
@@ -7,7 +7,7 @@
 import * as backoff from './backoff.js'
 import type * as counters from './counters.js'
 import * as failures from './failures.js'
-import * as pendings from './pending-record.js'
+import * as pendingRecords from './pending-record.js'
 import type * as shardFold from './shard-fold.js'
 import type * as shardReader from './shard-reader.js'
 import type * as tokenBucket from './token-bucket.js'
@@ -26,8 +26,8 @@
   readonly random: () => number
 }
 
-type Batch = readonly pendings.PendingRecord[]
-type AppendResult = errors.Result<pendings.AppendOutcome>
+type Batch = readonly pendingRecords.PendingRecord[]
+type AppendResult = errors.Result<pendingRecords.AppendOutcome>
 
 /** Ok if the batch was appended and folded; otherwise the failure for its records that have no outcome. */
 type SendResult = errors.Result<void>
@@ -40,7 +40,7 @@
 
 /** Batches, sends and retries the records of one shard, and reports the outcome of each. */
 export class ShardWriter {
-  private queue: pendings.PendingRecord[] = []
+  private queue: pendingRecords.PendingRecord[] = []
   private inFlightBatch: Batch = []
   private isWaitingForToken = false
   private isClosing = false
@@ -62,7 +62,7 @@
     if (duplicate?.isAwaited === true) return duplicate.result
     const conflict = duplicate === undefined ? fold.findConflict(record, text) : undefined
     if (conflict !== undefined) return this.rejectConflicting(conflict, record)
-    const pending = pendings.createPendingRecord(record, text, timers.monotonic() + appendTimeoutMs)
+    const pending = pendingRecords.createPendingRecord(record, text, timers.monotonic() + appendTimeoutMs)
     if (duplicate !== undefined) {
       // A copy of the earlier, failed append may be in the log or may still be appended; either copy determines the outcome.
       fold.untrack(duplicate)
@@ -79,20 +79,20 @@
    * Refuses a record whose sequence number another one holds or may hold. Sends the other one again if its outcome is
    * unknown, because its own writer may never retry it.
    */
-  private rejectConflicting (conflict: pendings.PendingRecord, record: types.JournalRecord): Promise<AppendResult> {
+  private rejectConflicting (conflict: pendingRecords.PendingRecord, record: types.JournalRecord): Promise<AppendResult> {
     if (!conflict.isAwaited && !conflict.isResending && conflict.outcome === undefined) this.resend(conflict)
     return Promise.resolve(errors.fail(failures.sequenceNumberTaken(record)))
   }
 
   /** Sends a failed record again to determine its outcome; the copy that is appended first takes effect. */
-  private resend (pending: pendings.PendingRecord): void {
+  private resend (pending: pendingRecords.PendingRecord): void {
     const { timers, appendTimeoutMs } = this.options
     pending.isResending = true
     pending.deadline = timers.monotonic() + appendTimeoutMs
     this.enqueue(pending)
   }
 
-  private enqueue (pending: pendings.PendingRecord): void {
+  private enqueue (pending: pendingRecords.PendingRecord): void {
     this.queue.push(pending)
     this.scheduleExpiry()
     this.startNextBatch()
@@ -106,7 +106,7 @@
     this.expiry?.cancel()
     this.probe?.cancel()
     for (const pending of [...this.inFlightBatch, ...this.queue.splice(0)]) {
-      this.failRecord(pending, failures.shuttingDown(this.inFlightBatch.includes(pending) ? 'mayHaveRun' : pendings.getVerdict(pending)))
+      this.failRecord(pending, failures.shuttingDown(this.inFlightBatch.includes(pending) ? 'mayHaveRun' : pendingRecords.getVerdict(pending)))
     }
   }
 
@@ -130,7 +130,7 @@
 
   /** Takes the next batch from the queue. Settles records whose copy is already in the log and skips replaced ones. */
   private takeBatch (): Batch {
-    const batch: pendings.PendingRecord[] = []
+    const batch: pendingRecords.PendingRecord[] = []
     let bytes = 0
     for (let pending = this.queue[0]; pending !== undefined; pending = this.queue[0]) {
       bytes += pending.bytes
@@ -200,7 +200,7 @@
     if (!sent.ok) this.failQueuedBehind(batch)
   }
 
-  private settleRecord (pending: pendings.PendingRecord, sent: SendResult): void {
+  private settleRecord (pending: pendingRecords.PendingRecord, sent: SendResult): void {
     const { outcome } = pending
     if (outcome === undefined) return this.failRecord(pending, sent.ok ? failures.recordsExpired(pending.record) : sent.failure)
     // A failed record stays tracked after it is sent again, because its writer may still retry it.
@@ -210,10 +210,10 @@
   }
 
   /** Fails a record. One that may be appended stays tracked, so that appending it again returns its outcome. */
-  private failRecord (pending: pendings.PendingRecord, failure: errors.Failure): void {
+  private failRecord (pending: pendingRecords.PendingRecord, failure: errors.Failure): void {
     if (!pending.mayBeAppended) this.options.fold.untrack(pending)
     pending.isResending = false
-    pending.settle(errors.fail({ ...failure, verdict: pendings.getVerdict(pending) }))
+    pending.settle(errors.fail({ ...failure, verdict: pendingRecords.getVerdict(pending) }))
   }
 
   /** Fails the queued records of the same programs without sending them, because the sequence number before theirs may stay unused. */
@@ -222,7 +222,7 @@
     this.failQueued((pending) => failedPrograms.has(pending.record.program))
   }
 
-  private failQueued (isFailed: (pending: pendings.PendingRecord) => boolean): void {
+  private failQueued (isFailed: (pending: pendingRecords.PendingRecord) => boolean): void {
     const failed = this.queue.filter(isFailed)
     this.queue = this.queue.filter((pending) => !isFailed(pending))
     for (const pending of failed) this.settleRecord(pending, errors.fail(failures.logUnavailable('notRun')))
--- a/packages/state/program-state/src/test-writers.ts
+++ b/packages/state/program-state/src/test-writers.ts
@@ -40,9 +40,9 @@
 
 const action = fc.oneof(
   { weight: 8, arbitrary: fc.constant('write' as const) },
-  { weight: 8, arbitrary: fc.constant('land' as const) },
+  { weight: 8, arbitrary: fc.constant('append' as const) },
   { weight: 8, arbitrary: fc.constant('read' as const) },
-  { weight: 2, arbitrary: fc.constant('landAgain' as const) },
+  { weight: 2, arbitrary: fc.constant('appendAgain' as const) },
   { weight: 1, arbitrary: fc.constant('restart' as const) },
   { weight: 1, arbitrary: fc.constant('wait' as const) }
 )
@@ -94,9 +94,9 @@
   switch (step.action) {
     case 'write':
       return sendBatch(world, writer, programs[step.program]!, pick, size)
-    case 'land':
+    case 'append':
       return appendToLog(world, world.inFlight.splice(flightIndex, 1)[0])
-    case 'landAgain':
+    case 'appendAgain':
       return appendToLog(world, world.inFlight[flightIndex])
     case 'read': {
       const from = writer.nextOffset
@@ -151,7 +151,7 @@
 ): types.JournalRecord {
   const branch = branches[state.turns.length % 3 === 0 ? 1 : 0]!
   const seq = programState.getNextSeq(state, branch) + unreadCount
-  const open = [...state.intents.values()][0]
+  const openIntent = [...state.intents.values()][0]
   const name = `${base.program}/${createdCount}`
   const turn = records.createTurn(seq, name, { branch, usage: { tokens: seq, calls: 1, microCost: 3 } })
   const usedKey = state.turns[0] && { key: state.turns[0].key }
@@ -159,11 +159,11 @@
     case 0: return unreadCount === 0 ? { ...base, type: 'snapshot', state: programState.createSnapshot(state) } : { ...base, type: 'turn', turn }
     case 1: return createdCount % 4 === 0 ? { ...base, type: 'finish', result: 'done', at: records.at(createdCount) } : { ...base, type: 'turn', turn }
     case 2: return { ...records.intent(base.n, base.term, seq, name), ...base, branch, seq: Math.max(1, seq - createdCount % 2), ...createdCount % 3 === 0 && usedKey }
-    case 3: return open === undefined ? { ...base, type: 'turn', turn } : { ...base, type: 'settle', key: open.key, verdict: 'notRun' }
-    case 4: return { ...base, type: 'turn', turn: { ...turn, seq: open === undefined ? seq + 1 : open.seq } }
+    case 3: return openIntent === undefined ? { ...base, type: 'turn', turn } : { ...base, type: 'settle', key: openIntent.key, verdict: 'notRun' }
+    case 4: return { ...base, type: 'turn', turn: { ...turn, seq: openIntent === undefined ? seq + 1 : openIntent.seq } }
     case 5: return { ...base, type: 'turn', turn: { ...turn, ...usedKey } }
-    case 6: return { ...base, type: 'turn', turn: open === undefined ? turn : { ...turn, key: open.key, branch: open.branch, seq: open.seq, digest: open.digest } }
+    case 6: return { ...base, type: 'turn', turn: openIntent === undefined ? turn : { ...turn, key: openIntent.key, branch: openIntent.branch, seq: openIntent.seq, digest: openIntent.digest } }
     case 7: return { ...base, type: 'allow', allowance: { tokens: createdCount, calls: 1, microCost: 0 } }
-    default: return open === undefined ? { ...base, type: 'turn', turn } : { ...base, type: 'settle', key: open.key, verdict: 'notRun' }
+    default: return openIntent === undefined ? { ...base, type: 'turn', turn } : { ...base, type: 'settle', key: openIntent.key, verdict: 'notRun' }
   }
 }
