--- a/packages/state/append-journal/src/journal.test.ts
+++ b/packages/state/append-journal/src/journal.test.ts
@@ -86,11 +86,11 @@
 tap.test('a head includes every record appended before it was requested', async (t) => {
   const world = createWorld()
   const journal = await world.open()
-  const early = journal.catchUp(0)
+  const earlierCatchUp = journal.catchUp(0)
   await world.timers.advanceAsync(1)
   world.log.appendDirectly(stream, programState.encodeBatch([records.begin(p1, homeA, world.timers.now())]))
   const head = journal.readHead(p1)
-  unwrap(await runUntilSettled(world, early))
+  unwrap(await runUntilSettled(world, earlierCatchUp))
   t.match(unwrap(await runUntilSettled(world, head)), { n: 1, home: homeA })
 })
 
@@ -100,11 +100,11 @@
   const term = await beginProgram(world, a, p1)
   t.match(unwrap(await runUntilSettled(world, b.readHead(p1))), { term, n: 1, home: homeA, finished: null })
   const place = { program: p1, n: 2, term }
-  const won = unwrap(await runUntilSettled(world, b.append(records.claim(place, homeB, 0))))
-  t.match(won, { applied: true })
+  const claimed = unwrap(await runUntilSettled(world, b.append(records.claim(place, homeB, 0))))
+  t.match(claimed, { applied: true })
   t.match(await runUntilSettled(world, a.append(records.turn(place, 1, 'x'))), { ok: true, value: { applied: false, effect: { type: 'void', reason: 'olderTerm' } } })
   t.same(world.superseded, [p1])
-  t.match(unwrap(await runUntilSettled(world, a.readHead(p1))), { term: won.position, home: homeB })
+  t.match(unwrap(await runUntilSettled(world, a.readHead(p1))), { term: claimed.position, home: homeB })
 })
 
 for (const fault of ['loseAnswer', 'lateCopy', 'stall', 'refuse'] as const) {
@@ -112,7 +112,7 @@
     const world = createWorld()
     const journal = await world.open()
     const faults: testLog.AppendFault[] = [fault]
-    world.log.appendFault = () => faults.shift() ?? 'none'
+    world.log.nextAppendFault = () => faults.shift() ?? 'none'
     t.match(await runUntilSettled(world, journal.append(records.begin(p1, homeA, world.timers.now()))), { ok: true, value: { applied: true } })
     await world.timers.advanceAsync(1000)
     t.equal(world.log.getRecords(stream).length, fault === 'lateCopy' ? 2 : 1)
@@ -124,13 +124,13 @@
   const world = createWorld()
   const journal = await world.open()
   const term = await beginProgram(world, journal, p1)
-  world.log.appendFault = () => 'refuse'
+  world.log.nextAppendFault = () => 'refuse'
   const first = journal.append(records.turn({ program: p1, n: 2, term }, 1, 'x'))
   await world.timers.advanceAsync(150)
-  const behind = journal.append(records.turn({ program: p1, n: 3, term }, 2, 'x'))
+  const queuedBehind = journal.append(records.turn({ program: p1, n: 3, term }, 2, 'x'))
   t.match(await runUntilSettled(world, first), { ok: false, failure: { tag: 'logUnavailable', verdict: 'notRun' } })
-  world.log.appendFault = () => 'none'
-  t.match(await runUntilSettled(world, behind), { ok: false, failure: { tag: 'logUnavailable', verdict: 'notRun' } })
+  world.log.nextAppendFault = () => 'none'
+  t.match(await runUntilSettled(world, queuedBehind), { ok: false, failure: { tag: 'logUnavailable', verdict: 'notRun' } })
   t.equal(world.log.getRecords(stream).length, 1)
   await addTurns(world, journal, p1, 2)
   t.equal((await loadState(world, journal, p1)).turns.length, 2)
@@ -141,14 +141,14 @@
   const journal = await world.open()
   const term = await beginProgram(world, journal, p1)
   const turn = records.turn({ program: p1, n: 2, term }, 1, 'x')
-  world.log.appendFault = () => 'loseAnswer'
-  world.log.readFails = () => true
+  world.log.nextAppendFault = () => 'loseAnswer'
+  world.log.shouldFailRead = () => true
   t.match(await runUntilSettled(world, journal.append(turn)), { ok: false, failure: { tag: 'logUnavailable', verdict: 'mayHaveRun' } })
   await world.timers.advanceAsync(1000)
   t.equal(journal.isAvailable(), false)
   t.match(await runUntilSettled(world, journal.append(records.turn({ program: p1, n: 2, term }, 1, 'y'))), { failure: { tag: 'logUnavailable', verdict: 'notRun', message: /record 2 of .* other content/ } })
-  world.log.appendFault = () => 'none'
-  world.log.readFails = () => false
+  world.log.nextAppendFault = () => 'none'
+  world.log.shouldFailRead = () => false
   await world.timers.advanceAsync(1000)
   t.equal(journal.isAvailable(), true)
   t.match(await runUntilSettled(world, journal.append(turn)), { ok: true, value: { applied: true } })
@@ -163,19 +163,19 @@
     const journal = await world.open()
     const term = await beginProgram(world, journal, p1)
     await loadState(world, journal, p1)
-    const givenUp = records.turn({ program: p1, n: 2, term }, 1, 'x')
-    world.log.appendFault = () => fault
-    world.log.readFails = () => true
-    t.match(await runUntilSettled(world, journal.append(givenUp)), { ok: false, failure: { verdict: 'mayHaveRun' } })
-    world.log.appendFault = () => 'none'
-    world.log.readFails = () => false
+    const failedRecord = records.turn({ program: p1, n: 2, term }, 1, 'x')
+    world.log.nextAppendFault = () => fault
+    world.log.shouldFailRead = () => true
+    t.match(await runUntilSettled(world, journal.append(failedRecord)), { ok: false, failure: { verdict: 'mayHaveRun' } })
+    world.log.nextAppendFault = () => 'none'
+    world.log.shouldFailRead = () => false
     const refused = await runUntilSettled(world, journal.append(records.turn({ program: p1, n: 2, term }, 1, 'y')))
     t.match(refused, { ok: false, failure: { tag: 'logUnavailable', verdict: 'notRun', retryAfterMs: 1000 } })
     await world.timers.advanceAsync(1000)
     const { n, turns } = await loadState(world, journal, p1)
     t.same([n, turns.length], [2, 1])
     t.match(await runUntilSettled(world, journal.append(records.turn({ program: p1, n: 3, term }, 2, 'y'))), { ok: true, value: { applied: true } })
-    t.match(await runUntilSettled(world, journal.append(givenUp)), { ok: true, value: { applied: true, effect: { type: 'applied' } } })
+    t.match(await runUntilSettled(world, journal.append(failedRecord)), { ok: true, value: { applied: true, effect: { type: 'applied' } } })
   })
 }
 
@@ -183,14 +183,14 @@
   const world = createWorld()
   const journal = await world.open()
   const term = await beginProgram(world, journal, p1)
-  const givenUp = records.turn({ program: p1, n: 2, term }, 1, 'x')
-  world.log.appendFault = () => 'stall'
-  t.match(await runUntilSettled(world, journal.append(givenUp)), { ok: false, failure: { verdict: 'mayHaveRun' } })
+  const failedRecord = records.turn({ program: p1, n: 2, term }, 1, 'x')
+  world.log.nextAppendFault = () => 'stall'
+  t.match(await runUntilSettled(world, journal.append(failedRecord)), { ok: false, failure: { verdict: 'mayHaveRun' } })
   const faults: testLog.AppendFault[] = ['loseAnswer']
-  world.log.appendFault = () => faults.shift() ?? 'none'
+  world.log.nextAppendFault = () => faults.shift() ?? 'none'
   const refused = journal.append(records.turn({ program: p1, n: 2, term }, 1, 'y'))
   await world.timers.advanceAsync(10)
-  t.match(await runUntilSettled(world, journal.append(givenUp)), { ok: true, value: { applied: true } })
+  t.match(await runUntilSettled(world, journal.append(failedRecord)), { ok: true, value: { applied: true } })
   t.match(await refused, { ok: false, failure: { verdict: 'notRun' } })
   t.equal(world.log.getRecords(stream).length, 2)
 })
@@ -199,9 +199,9 @@
   const world = createWorld()
   const journal = await world.open({ idReuseDelayMs: 400 })
   const faults: testLog.AppendFault[] = ['lateCopy']
-  world.log.appendFault = () => faults.shift() ?? 'stall'
+  world.log.nextAppendFault = () => faults.shift() ?? 'stall'
   t.match(await runUntilSettled(world, journal.append(records.begin(p1, homeA, world.timers.now()))), { ok: false, failure: { verdict: 'mayHaveRun' } })
-  world.log.appendFault = () => 'none'
+  world.log.nextAppendFault = () => 'none'
   await world.timers.advanceAsync(400)
   unwrap(await runUntilSettled(world, journal.catchUp(0)))
   t.match(await runUntilSettled(world, journal.append(records.begin(p1, homeA, world.timers.now()))), { ok: true, value: { applied: true } })
@@ -357,8 +357,8 @@
   await runUntilSettled(world, a.close())
   for (const answer of answers) t.match(await answer, { ok: true })
   t.match(await a.append(records.begin(p1, homeA, 0)), { failure: { tag: 'shuttingDown', verdict: 'notRun' } })
-  world.log.appendFault = () => 'refuse'
-  const stuck = b.append(records.begin(records.programId('p3'), homeB, world.timers.now()))
+  world.log.nextAppendFault = () => 'refuse'
+  const failedAppend = b.append(records.begin(records.programId('p3'), homeB, world.timers.now()))
   await runUntilSettled(world, b.close())
-  t.match(await stuck, { ok: false, failure: { verdict: 'notRun' } })
+  t.match(await failedAppend, { ok: false, failure: { verdict: 'notRun' } })
 })
--- a/packages/state/append-journal/src/journal.ts
+++ b/packages/state/append-journal/src/journal.ts
@@ -44,7 +44,9 @@
 
 /** Journal of the programs of all shards. A program is local if its whole state is kept in this process. */
 export interface Journal {
+  /** Returns the shard of a program, from 0; the same in every process. */
   getShardIndex: (program: types.ProgramId) => number
+  /** Returns the name of the journal stream of a shard. */
   getStreamName: (shard: number) => types.StreamName
   /**
    * Appends a record. Succeeds once the record is in the log; `applied` tells whether it took effect. Records of one
@@ -68,6 +70,7 @@
   planSnapshots: (now: types.EpochMs) => types.ProgramId[]
   /** False once all log requests of some shard have failed for a second. */
   isAvailable: () => boolean
+  /** Returns counters since the journal was created, and its current sizes. */
   getCounters: () => Readonly<counters.JournalCounters> & counters.JournalSizes
   /** Rejects further appends, sends the queued ones until a timeout, and fails the rest. */
   close: () => Promise<void>
--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -116,14 +116,14 @@
 async function runSchedule ({ steps, appendFaults, readFaults }: World): Promise<{ run: Run, writers: Writer[] }> {
   const run = new Run()
   const writers = await Promise.all(['a', 'b', 'c'].map((name) => run.createWriter(name)))
-  run.log.appendFault = () => appendFaults.shift() ?? 'none'
-  run.log.readFails = () => readFaults.shift() ?? false
+  run.log.nextAppendFault = () => appendFaults.shift() ?? 'none'
+  run.log.shouldFailRead = () => readFaults.shift() ?? false
   for (const { writer, program, action, waitMs } of steps) {
     run.runningActions.push(run.runAction(writers[writer]!, programs[program]!, action))
     await run.timers.advanceAsync(waitMs)
   }
-  run.log.appendFault = () => 'none'
-  run.log.readFails = () => false
+  run.log.nextAppendFault = () => 'none'
+  run.log.shouldFailRead = () => false
   await run.timers.advanceAsync(2000)
   await Promise.all(run.runningActions)
   return { run, writers }
--- a/packages/state/append-journal/src/test-log.ts
+++ b/packages/state/append-journal/src/test-log.ts
@@ -14,8 +14,8 @@
   readonly timers: timerService.TimerService
   /** Latency of each direction of a request, in milliseconds; with 0, requests complete without a timer. */
   readonly latencyMs: number
-  readonly appendFault?: () => AppendFault
-  readonly readFails?: () => boolean
+  readonly nextAppendFault?: () => AppendFault
+  readonly shouldFailRead?: () => boolean
   /** Age at which records are no longer returned by reads, in milliseconds. */
   readonly retentionMs?: number
 }
@@ -25,17 +25,17 @@
 const lateCopyDelayMs = 400
 
 export class TestLog implements logClient.LogClient {
-  appendFault: () => AppendFault
-  readFails: () => boolean
+  nextAppendFault: () => AppendFault
+  shouldFailRead: () => boolean
   private readonly streams = new Map<types.StreamName, { first: types.LogOffset, records: logClient.LogRecord[] }>()
 
   constructor (private readonly options: TestLogOptions) {
-    this.appendFault = options.appendFault ?? (() => 'none')
-    this.readFails = options.readFails ?? (() => false)
+    this.nextAppendFault = options.nextAppendFault ?? (() => 'none')
+    this.shouldFailRead = options.shouldFailRead ?? (() => false)
   }
 
   async append (stream: types.StreamName, data: string): Promise<errors.Result<logClient.LogAppended>> {
-    const fault = this.appendFault()
+    const fault = this.nextAppendFault()
     await this.wait(this.options.latencyMs)
     switch (fault) {
       case 'refuse':
@@ -63,7 +63,7 @@
 
   async read (stream: types.StreamName, from: types.LogOffset, { limit = 100 }: logClient.ReadOptions = {}): Promise<errors.Result<logClient.LogPage>> {
     await this.wait(this.options.latencyMs)
-    if (this.readFails()) return errors.fail(createUnavailableFailure('notRun'))
+    if (this.shouldFailRead()) return errors.fail(createUnavailableFailure('notRun'))
     const { records } = this.getStream(stream)
     const first = this.getFirstOffset(stream)
     const start = Math.max(first, from)
