--- a/packages/decide/track-upstreams/src/choose-upstream.ts
+++ b/packages/decide/track-upstreams/src/choose-upstream.ts
@@ -27,23 +27,23 @@
 }
 
 /** Upstreams drawn for one choice. What others run is known up to 800 ms late: the least used of all would get everything at once. */
-const draws = 3
+const sampleSize = 3
 /** An upstream that was heard of within this time, in ms, has most likely a connection left: idle ones are closed after 3.5 s. */
-const connectedMs = 3_000
+const openConnectionMs = 3_000
 /** Up to this share of its slots an upstream serves a call as fast as when idle. */
-const roomyLoad = 0.5
+const lightLoad = 0.5
 /** How far above the mean load of its service an upstream may be and still be given more, as a factor. */
-const boundFactor = 1.25
+const loadBoundFactor = 1.25
 /**
  * Beyond that, the share of its slots by which the holder of a chain may be busier. One more request beside a turn
  * costs it about 12 ms (steps and the reading of the other prompts), reading a chain of 3,000 tokens again 27 to 50 ms.
  */
-const holderShare = 0.375
+const holderLoadMargin = 0.375
 
 /** `undefined`: none may take it. */
 export function chooseUpstream (input: ChooseInput): list.Upstream | undefined {
   const usable = input.candidates.filter((upstream) => !upstream.listed.leaving && !input.tried.has(upstream.listed.id))
-  const pool = soundest(usable, input.now)
+  const pool = selectHealthiest(usable, input.now)
   if (input.affinity === undefined) return chooseForCall(pool, input)
   return chooseForPrompt(pool, input.affinity, input)
 }
@@ -53,10 +53,10 @@
  * process would otherwise come back to each of them only after it has closed its connection.
  */
 function chooseForCall (pool: readonly list.Upstream[], input: ChooseInput): list.Upstream | undefined {
-  const connected = pool.filter((upstream) => input.now - upstream.lastActivityAt < connectedMs)
-  const chosen = leastUsed(drawSome(connected, input.random), input)
-  if (chosen !== undefined && load(chosen, input) < roomyLoad) return chosen
-  return leastUsed(drawSome(pool, input.random), input)
+  const connected = pool.filter((upstream) => input.now - upstream.lastActivityAt < openConnectionMs)
+  const chosen = findLeastLoaded(sampleUpstreams(connected, input.random), input)
+  if (chosen !== undefined && computeLoad(chosen, input) < lightLoad) return chosen
+  return findLeastLoaded(sampleUpstreams(pool, input.random), input)
 }
 
 /**
@@ -67,68 +67,68 @@
 function chooseForPrompt (pool: readonly list.Upstream[], affinity: PromptAffinity, input: ChooseInput): list.Upstream | undefined {
   const holder = pool.find((upstream) => upstream.listed.id === affinity.holder)
   const others = pool.filter((upstream) => upstream !== holder)
-  if (holder !== undefined && load(holder, input) <= meanLoad(others, input) * boundFactor + holderShare) return holder
-  const { sharedPrefix: sharedPart } = affinity
-  if (sharedPart === undefined) return leastUsed(drawSome(pool, input.random), input)
-  const bound = meanLoad(pool, input) * boundFactor
-  for (const upstream of rankFor(sharedPart, pool)) {
-    if (load(upstream, input) <= bound) return upstream
+  if (holder !== undefined && computeLoad(holder, input) <= computeMeanLoad(others, input) * loadBoundFactor + holderLoadMargin) return holder
+  const { sharedPrefix } = affinity
+  if (sharedPrefix === undefined) return findLeastLoaded(sampleUpstreams(pool, input.random), input)
+  const bound = computeMeanLoad(pool, input) * loadBoundFactor
+  for (const upstream of rankByHash(sharedPrefix, pool)) {
+    if (computeLoad(upstream, input) <= bound) return upstream
   }
-  return leastUsed(pool, input)
+  return findLeastLoaded(pool, input)
 }
 
 /** How full a service is: requests of all processes at its sound upstreams, as a share of their slots. */
 export function computeServiceLoad (input: Pick<ChooseInput, 'candidates' | 'othersRunning' | 'now'>): number {
   const usable = input.candidates.filter((upstream) => !upstream.listed.leaving)
-  return meanLoad(soundest(usable, input.now), input)
+  return computeMeanLoad(selectHealthiest(usable, input.now), input)
 }
 
 /** Rendezvous hashing: the same order in every process, with no messages. */
-function rankFor (part: string, pool: readonly list.Upstream[]): list.Upstream[] {
-  const scored = pool.map((upstream) => ({ upstream, score: hashText.hashText(part + upstream.listed.id) }))
+function rankByHash (prefix: string, pool: readonly list.Upstream[]): list.Upstream[] {
+  const scored = pool.map((upstream) => ({ upstream, score: hashText.hashText(prefix + upstream.listed.id) }))
   return scored.sort((a, b) => b.score - a.score).map(({ upstream }) => upstream)
 }
 
 /** Those that nothing speaks against; failing that, those that are merely full or suspected, then all. */
-function soundest (usable: readonly list.Upstream[], now: number): readonly list.Upstream[] {
-  const sound = usable.filter((upstream) => upstream.avoidUntil <= now && upstream.ejectedUntil <= now && upstream.fullUntil <= now)
-  if (sound.length > 0) return sound
-  const hopeful = usable.filter((upstream) => upstream.avoidUntil <= now && upstream.ejectedUntil <= now)
-  return hopeful.length > 0 ? hopeful : usable
+function selectHealthiest (usable: readonly list.Upstream[], now: number): readonly list.Upstream[] {
+  const healthy = usable.filter((upstream) => upstream.avoidUntil <= now && upstream.ejectedUntil <= now && upstream.fullUntil <= now)
+  if (healthy.length > 0) return healthy
+  const notAvoided = usable.filter((upstream) => upstream.avoidUntil <= now && upstream.ejectedUntil <= now)
+  return notAvoided.length > 0 ? notAvoided : usable
 }
 
-function meanLoad (pool: readonly list.Upstream[], input: Pick<ChooseInput, 'othersRunning'>): number {
+function computeMeanLoad (pool: readonly list.Upstream[], input: Pick<ChooseInput, 'othersRunning'>): number {
   let sum = 0
-  for (const upstream of pool) sum += load(upstream, input)
+  for (const upstream of pool) sum += computeLoad(upstream, input)
   return sum / Math.max(1, pool.length)
 }
 
 /** Requests of all processes as a share of the slots. */
-function load (upstream: list.Upstream, input: Pick<ChooseInput, 'othersRunning'>): number {
+function computeLoad (upstream: list.Upstream, input: Pick<ChooseInput, 'othersRunning'>): number {
   return (upstream.running + input.othersRunning(upstream.listed.id)) / Math.max(1, upstream.listed.slots)
 }
 
-function leastUsed (pool: readonly list.Upstream[], input: ChooseInput): list.Upstream | undefined {
+function findLeastLoaded (pool: readonly list.Upstream[], input: ChooseInput): list.Upstream | undefined {
   let best: list.Upstream | undefined
   let bestLoad = Infinity
   for (const upstream of pool) {
-    const itsLoad = load(upstream, input)
-    if (itsLoad >= bestLoad) continue
+    const upstreamLoad = computeLoad(upstream, input)
+    if (upstreamLoad >= bestLoad) continue
     best = upstream
-    bestLoad = itsLoad
+    bestLoad = upstreamLoad
   }
   return best
 }
 
 /** Some of the pool in random order; all of a small one. */
-function drawSome (pool: readonly list.Upstream[], random: () => number): list.Upstream[] {
-  const left = [...pool]
-  const drawn: list.Upstream[] = []
-  while (left.length > 0 && drawn.length < draws) {
-    const at = Math.floor(random() * left.length)
-    drawn.push(left[at]!)
-    left[at] = left[left.length - 1]!
-    left.pop()
+function sampleUpstreams (pool: readonly list.Upstream[], random: () => number): list.Upstream[] {
+  const remaining = [...pool]
+  const sample: list.Upstream[] = []
+  while (remaining.length > 0 && sample.length < sampleSize) {
+    const index = Math.floor(random() * remaining.length)
+    sample.push(remaining[index]!)
+    remaining[index] = remaining[remaining.length - 1]!
+    remaining.pop()
   }
-  return drawn
+  return sample
 }
--- a/packages/decide/track-upstreams/src/find-outliers.test.ts
+++ b/packages/decide/track-upstreams/src/find-outliers.test.ts
@@ -6,10 +6,10 @@
 const service = 'orders' as types.ServiceId
 
 /** Upstreams of one service and a seeded generator, for loads that repeat. */
-function fixture (count: number, seed: number) {
+function createFixture (count: number, seed: number) {
   const upstreams = new upstreamList.UpstreamList()
-  for (let at = 0; at < count; at += 1) {
-    upstreams.put({ id: `u${at}` as types.UpstreamId, service, address: `h${at}:1`, name: 'n', slots: 6, leaving: false })
+  for (let index = 0; index < count; index += 1) {
+    upstreams.put({ id: `u${index}` as types.UpstreamId, service, address: `h${index}:1`, name: 'n', slots: 6, leaving: false })
   }
   let state = seed
   const random = (): number => {
@@ -20,13 +20,13 @@
 }
 
 interface Load {
-  readonly upstreams: number
-  readonly processes: number
+  readonly upstreamCount: number
+  readonly processCount: number
   /** Requests a second of all processes. */
-  readonly perSecond: number
+  readonly requestsPerSecond: number
   readonly seconds: number
   /** Share of the requests at an upstream that bear a mark. */
-  readonly marked: (upstream: number) => number
+  readonly markedShare: (upstream: number) => number
   readonly mark: findOutliers.Mark
 }
 
@@ -34,38 +34,38 @@
 const warmUpMs = 3_000
 
 /** Plays a load as one process sees it: its own requests, and the marks of all. */
-function play (load: Load, seed = 1) {
-  const { upstreams, random, finder } = fixture(load.upstreams, seed)
+function simulateLoad (load: Load, seed = 1) {
+  const { upstreams, random, finder } = createFixture(load.upstreamCount, seed)
   const ejected: { upstream: number, atMs: number }[] = []
-  let lost = 0
-  const stepMs = 1_000 / load.perSecond
+  let lostCount = 0
+  const stepMs = 1_000 / load.requestsPerSecond
   for (let now = 0; now < warmUpMs + load.seconds * 1_000; now += stepMs) {
-    if (random() < 1 / load.processes) finder.countRequest(service, now)
+    if (random() < 1 / load.processCount) finder.countRequest(service, now)
     const usable = [...upstreams.getByService(service)].filter((upstream) => upstream.ejectedUntil <= now)
     const upstream = usable[Math.floor(random() * usable.length)]!
     const index = Number(upstream.listed.id.slice(1))
-    if (now < warmUpMs || random() >= load.marked(index)) continue
-    lost += 1
-    const found = finder.applyReport({ upstream: upstream.listed.id, mark: load.mark, count: 1 }, load.processes, now)
-    if (found !== undefined) ejected.push({ upstream: index, atMs: now - warmUpMs })
+    if (now < warmUpMs || random() >= load.markedShare(index)) continue
+    lostCount += 1
+    const ejection = finder.applyReport({ upstream: upstream.listed.id, mark: load.mark, count: 1 }, load.processCount, now)
+    if (ejection !== undefined) ejected.push({ upstream: index, atMs: now - warmUpMs })
   }
-  return { ejected, lost, upstreams }
+  return { ejected, lostCount, upstreams }
 }
 
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8]
 
 tap.test('upstreams that fail nearly half of their requests are found within two and a half seconds', (t) => {
   for (const seed of seeds) {
-    const { ejected, lost } = play({ upstreams: 71, processes: 29, perSecond: 900, seconds: 5, marked: (at) => at < 10 ? 0.45 : 0, mark: 'failed' }, seed)
+    const { ejected, lostCount } = simulateLoad({ upstreamCount: 71, processCount: 29, requestsPerSecond: 900, seconds: 5, markedShare: (at) => at < 10 ? 0.45 : 0, mark: 'failed' }, seed)
     t.equal(new Set(ejected.filter(({ atMs }) => atMs < 2_500).map(({ upstream }) => upstream)).size, 10, `seed ${seed}`)
-    t.ok(lost < 160, `${lost} requests lost of about 285 without`)
+    t.ok(lostCount < 160, `${lostCount} requests lost of about 285 without`)
   }
   t.end()
 })
 
 tap.test('the same at a fraction of the load', (t) => {
   for (const seed of seeds) {
-    const { ejected } = play({ upstreams: 24, processes: 29, perSecond: 60, seconds: 6, marked: (at) => at < 3 ? 0.45 : 0, mark: 'failed' }, seed)
+    const { ejected } = simulateLoad({ upstreamCount: 24, processCount: 29, requestsPerSecond: 60, seconds: 6, markedShare: (at) => at < 3 ? 0.45 : 0, mark: 'failed' }, seed)
     t.ok(new Set(ejected.map(({ upstream }) => upstream)).size >= 2, `seed ${seed}`)
     t.same(ejected.filter(({ upstream }) => upstream >= 3), [])
   }
@@ -74,7 +74,7 @@
 
 tap.test('a few lost answers everywhere eject hardly anything', (t) => {
   for (const seed of seeds) {
-    const { ejected } = play({ upstreams: 71, processes: 29, perSecond: 900, seconds: 5, marked: (at) => at < 42 ? 0.055 : 0, mark: 'failed' }, seed)
+    const { ejected } = simulateLoad({ upstreamCount: 71, processCount: 29, requestsPerSecond: 900, seconds: 5, markedShare: (at) => at < 42 ? 0.055 : 0, mark: 'failed' }, seed)
     t.ok(ejected.length <= 2, `seed ${seed}: ${ejected.length}`)
   }
   t.end()
@@ -82,14 +82,14 @@
 
 tap.test('where all upstreams lag, none is ejected', (t) => {
   for (const seed of seeds) {
-    const { ejected } = play({ upstreams: 24, processes: 29, perSecond: 450, seconds: 6, marked: () => 0.7, mark: 'slow' }, seed)
+    const { ejected } = simulateLoad({ upstreamCount: 24, processCount: 29, requestsPerSecond: 450, seconds: 6, markedShare: () => 0.7, mark: 'slow' }, seed)
     t.ok(ejected.length <= 1, `seed ${seed}: ${ejected.length}`)
   }
   t.end()
 })
 
 tap.test('at most a third of a service is ejected at a time', (t) => {
-  const { upstreams, finder } = fixture(6, 1)
+  const { upstreams, finder } = createFixture(6, 1)
   for (const id of ['u0', 'u1', 'u2', 'u3']) {
     for (let count = 0; count < 6; count += 1) finder.applyReport({ upstream: id as types.UpstreamId, mark: 'failed', count: 1 }, 1, 0)
   }
@@ -98,15 +98,15 @@
 })
 
 tap.test('each further ejection lasts longer, up to a limit', (t) => {
-  const { finder } = fixture(6, 1)
+  const { finder } = createFixture(6, 1)
   const id = 'u0' as types.UpstreamId
-  const lasted: number[] = []
+  const durationsMs: number[] = []
   let now = 0
   for (let round = 0; round < 4; round += 1) {
     const ejection = finder.applyReport({ upstream: id, mark: 'failed', count: 6 }, 1, now)
-    lasted.push(ejection?.forMs ?? 0)
+    durationsMs.push(ejection?.forMs ?? 0)
     now += (ejection?.forMs ?? 0) + 1
   }
-  t.same(lasted, [1_500, 3_000, 6_000, 6_000])
+  t.same(durationsMs, [1_500, 3_000, 6_000, 6_000])
   t.end()
 })
--- a/packages/decide/track-upstreams/src/peer-loads.test.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.test.ts
@@ -2,7 +2,7 @@
 import * as fc from 'fast-check'
 import type * as types from '@eelgrasswind/types'
 import * as peerLoads from './peer-loads.js'
-import * as usualTimes from './usual-times.js'
+import * as typicalLatencies from './typical-latencies.js'
 
 const id = (name: string) => name as types.UpstreamId
 
@@ -22,17 +22,17 @@
   const report = fc.record({ peer: fc.constantFrom('p', 'q', 'r'), counts: fc.uniqueArray(fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.integer({ min: 1, max: 9 })), { selector: ([name]) => name }), waitMs: fc.nat(1_800) })
   fc.assert(fc.property(fc.array(report), (reports) => {
     const loads = new peerLoads.PeerLoads()
-    const model = new Map<string, { at: number, counts: Map<string, number> }>()
+    const expected = new Map<string, { at: number, counts: Map<string, number> }>()
     let now = 0
     for (const { peer, counts, waitMs } of reports) {
       now += waitMs
       loads.applyReport(peer, new Map(counts.map(([name, count]) => [id(name), count])), now)
       loads.expire(now)
-      model.set(peer, { at: now, counts: new Map(counts) })
+      expected.set(peer, { at: now, counts: new Map(counts) })
     }
     for (const name of ['a', 'b', 'c']) {
       let sum = 0
-      for (const { at, counts } of model.values()) if (now - at <= 3_000) sum += counts.get(name) ?? 0
+      for (const { at, counts } of expected.values()) if (now - at <= 3_000) sum += counts.get(name) ?? 0
       if (loads.getRunning(id(name)) !== sum) return false
     }
     return true
@@ -41,12 +41,12 @@
 })
 
 tap.test('usual times are learnt from what is usual, and slow answers hardly move them', (t) => {
-  const usual = new usualTimes.TypicalLatencies()
-  for (let count = 0; count < 200; count += 1) usual.observe('r', 80, 400)
-  t.ok(Math.abs(usual.get('r')! - 80) < 1)
-  t.equal(usual.observe('r', 200, 400), false)
-  t.equal(usual.observe('r', 400, 400), true)
-  t.ok(usual.get('r')! < 100)
-  t.equal(usual.observe('fast', 100, 10), false, 'below what a pause of ours takes')
+  const latencies = new typicalLatencies.TypicalLatencies()
+  for (let count = 0; count < 200; count += 1) latencies.observe('r', 80, 400)
+  t.ok(Math.abs(latencies.get('r')! - 80) < 1)
+  t.equal(latencies.observe('r', 200, 400), false)
+  t.equal(latencies.observe('r', 400, 400), true)
+  t.ok(latencies.get('r')! < 100)
+  t.equal(latencies.observe('fast', 100, 10), false, 'below what a pause of ours takes')
   t.end()
 })
--- a/packages/decide/track-upstreams/src/peer-loads.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.ts
@@ -9,11 +9,11 @@
 
 interface PeerReport {
   counts: RunningCounts
-  at: number
+  receivedAt: number
 }
 
 /** A report older than this, in ms, says nothing any more: several reports were lost, or the process has ended. */
-const reportLifeMs = 3_000
+const reportTtlMs = 3_000
 
 /** The latest report of each peer, and their sums. */
 export class PeerLoads {
@@ -22,16 +22,16 @@
 
   /** Takes the report of one peer in place of its former one. Monotonic ms. */
   applyReport (peer: string, counts: RunningCounts, now: number): void {
-    const former = this.reports.get(peer)
-    if (former !== undefined) this.add(former.counts, -1)
+    const previous = this.reports.get(peer)
+    if (previous !== undefined) this.add(previous.counts, -1)
     this.add(counts, 1)
-    this.reports.set(peer, { counts, at: now })
+    this.reports.set(peer, { counts, receivedAt: now })
   }
 
   /** Forgets the reports of peers that have fallen silent. */
   expire (now: number): void {
-    for (const [peer, { counts, at }] of this.reports) {
-      if (now - at <= reportLifeMs) continue
+    for (const [peer, { counts, receivedAt }] of this.reports) {
+      if (now - receivedAt <= reportTtlMs) continue
       this.add(counts, -1)
       this.reports.delete(peer)
     }
--- a/packages/decide/track-upstreams/src/upstream-list.ts
+++ b/packages/decide/track-upstreams/src/upstream-list.ts
@@ -32,12 +32,12 @@
 }
 
 /** First pause after a failure; doubles with each further one. Long enough that a crashed upstream costs few tries. */
-const firstAvoidMs = 150
-const maxAvoidMs = 2_400
+const initialBackoffMs = 150
+const maxBackoffMs = 2_400
 /** Pause after a silence, in ms: a host without power is off the list in about 4 s, and each try costs a client 2 s. */
-const silentAvoidMs = 2_000
+const unresponsiveBackoffMs = 2_000
 /** A full upstream frees a slot within about one request; asking again sooner is mostly in vain. */
-const fullMs = 40
+const queueFullBackoffMs = 40
 
 /** Finds upstreams by id and by service. An incarnation that changes its service starts anew. */
 export class UpstreamList {
@@ -85,14 +85,14 @@
 /** A connection failed or an answer broke off. */
 export function noteFailure (upstream: Upstream, now: number): void {
   upstream.failures += 1
-  const pause = Math.min(maxAvoidMs, firstAvoidMs * 2 ** (upstream.failures - 1))
-  upstream.avoidUntil = now + pause
+  const backoffMs = Math.min(maxBackoffMs, initialBackoffMs * 2 ** (upstream.failures - 1))
+  upstream.avoidUntil = now + backoffMs
 }
 
 /** Nothing at all came from the upstream for so long that its host is likely gone. */
 export function noteUnresponsive (upstream: Upstream, now: number): void {
   upstream.failures += 1
-  upstream.avoidUntil = now + silentAvoidMs
+  upstream.avoidUntil = now + unresponsiveBackoffMs
 }
 
 /** Something came from the upstream. */
@@ -102,7 +102,7 @@
 
 /** The upstream refused since its queue is full. */
 export function noteQueueFull (upstream: Upstream, now: number): void {
-  upstream.fullUntil = now + fullMs
+  upstream.fullUntil = now + queueFullBackoffMs
 }
 
 /** A whole answer came: pauses end, and the next failure starts with the shortest. */
