--- a/packages/decide/meter-account/src/account-belief.ts
+++ b/packages/decide/meter-account/src/account-estimate.ts
@@ -4,7 +4,7 @@
  * nobody, and one at its limit is counted exactly.
  */
 import * as accountMeter from './account-meter.js'
-import type * as meterBook from './meter-book.js'
+import type * as meterRegistry from './meter-registry.js'
 
 /** Plain state; replaced, never changed. */
 export interface AccountEstimate {
@@ -18,48 +18,48 @@
 }
 
 /** Requests go unasked while this share of the capacity is left: what all hosts together send before they hear of one another. */
-const unaskedShare = 0.35
+const unaskedCapacityShare = 0.35
 
 /** The belief after an answer of the owner; since: what was let through after the report that it answers. */
-export function createEstimate (limit: accountMeter.MeterLimit, answer: meterBook.MeterAnswer, since: accountMeter.RequestCounts, now: number): AccountEstimate {
+export function createEstimate (limit: accountMeter.MeterLimit, answer: meterRegistry.MeterAnswer, unreported: accountMeter.RequestCounts, now: number): AccountEstimate {
   const confirmed = accountMeter.createMeter(limit, answer.state, now)
-  return { confirmed, term: answer.term, meter: accountMeter.spend(confirmed, since), unreported: since }
+  return { confirmed, term: answer.term, meter: accountMeter.spend(confirmed, unreported), unreported }
 }
 
 /**
  * Whether a request may be sent without asking. The first of a program never is: it stands for many, and hosts that let
  * programs in at the same moment would add up.
  */
-export function canSendUnasked (belief: AccountEstimate, part: accountMeter.RequestPosition): boolean {
-  if (part === 'first') return false
-  const { meter } = belief
-  return accountMeter.computeHeadroom(meter, part) >= unaskedShare * accountMeter.computeCapacity(meter.limit)
+export function canSendUnasked (estimate: AccountEstimate, position: accountMeter.RequestPosition): boolean {
+  if (position === 'first') return false
+  const { meter } = estimate
+  return accountMeter.computeHeadroom(meter, position) >= unaskedCapacityShare * accountMeter.computeCapacity(meter.limit)
 }
 
 /** Counts a request that was let through here, or takes one back that did not run (`by` -1). */
-export function countRequest (belief: AccountEstimate, part: accountMeter.RequestPosition, by: 1 | -1): AccountEstimate {
-  const counts = { ...accountMeter.noRequests, [part]: by }
-  return { ...belief, meter: accountMeter.spend(belief.meter, counts), unreported: addCounts(belief.unreported, counts) }
+export function countRequest (estimate: AccountEstimate, position: accountMeter.RequestPosition, delta: 1 | -1): AccountEstimate {
+  const counts = { ...accountMeter.noRequests, [position]: delta }
+  return { ...estimate, meter: accountMeter.spend(estimate.meter, counts), unreported: addCounts(estimate.unreported, counts) }
 }
 
 /** What the owner would have said at a time, in monotonic ms, had nobody sent anything since. */
-export function computeConfirmedState (belief: AccountEstimate, now: number): accountMeter.MeterState {
-  return accountMeter.stateOf(accountMeter.refillMeter(belief.confirmed, now))
+export function computeConfirmedState (estimate: AccountEstimate, now: number): accountMeter.MeterState {
+  return accountMeter.toState(accountMeter.refillMeter(estimate.confirmed, now))
 }
 
 /** The meter of a host that counts by itself: its share of the limit, and of what was left when the owner was last heard, monotonic ms. */
-export function createFallbackMeter (limit: accountMeter.MeterLimit, belief: AccountEstimate | undefined, hosts: number, heardAt: number, now: number): accountMeter.AccountMeter {
-  const own = divideLimit(limit, hosts)
-  if (belief === undefined) return accountMeter.createMeter(own, accountMeter.createState(accountMeter.unknownLevel(own)), now)
-  const state = computeConfirmedState(belief, heardAt)
-  const part = 1 / Math.max(1, hosts)
-  return accountMeter.createMeter(own, { ...state, level: state.level * part, uncommitted: state.uncommitted * part }, now)
+export function createFallbackMeter (limit: accountMeter.MeterLimit, estimate: AccountEstimate | undefined, hostCount: number, lastAnswerAt: number, now: number): accountMeter.AccountMeter {
+  const ownLimit = divideLimit(limit, hostCount)
+  if (estimate === undefined) return accountMeter.createMeter(ownLimit, accountMeter.createState(accountMeter.computeInitialLevel(ownLimit)), now)
+  const state = computeConfirmedState(estimate, lastAnswerAt)
+  const share = 1 / Math.max(1, hostCount)
+  return accountMeter.createMeter(ownLimit, { ...state, level: state.level * share, uncommitted: state.uncommitted * share }, now)
 }
 
 /** The part of a limit that one of so many hosts may use by itself while nobody counts for all: together they stay within it. */
-export function divideLimit (limit: accountMeter.MeterLimit, hosts: number): accountMeter.MeterLimit {
-  const part = 1 / Math.max(1, hosts)
-  return { requestsPerSecond: limit.requestsPerSecond * part, burst: limit.burst * part, slack: limit.slack * part }
+export function divideLimit (limit: accountMeter.MeterLimit, hostCount: number): accountMeter.MeterLimit {
+  const share = 1 / Math.max(1, hostCount)
+  return { requestsPerSecond: limit.requestsPerSecond * share, burst: limit.burst * share, slack: limit.slack * share }
 }
 
 /** Both together. */
--- a/packages/decide/meter-account/src/account-meter.ts
+++ b/packages/decide/meter-account/src/account-meter.ts
@@ -40,36 +40,36 @@
 export interface AccountMeter extends MeterState {
   readonly limit: MeterLimit
   /** Monotonic ms. */
-  readonly at: number
+  readonly updatedAt: number
 }
 
 /** No requests. */
 export const noRequests: RequestCounts = { first: 0, further: 0 }
 
 /** One request. */
-export function createSingleCount (part: RequestPosition): RequestCounts {
-  return { ...noRequests, [part]: 1 }
+export function createSingleCount (position: RequestPosition): RequestCounts {
+  return { ...noRequests, [position]: 1 }
 }
 
 /** The part of the slack that a quiet account gets on top of its burst. */
-const burstSlack = 0.25
+const burstSlackShare = 0.25
 /** The part of it by which requests of programs under way may go beyond the limit. The rest covers what hosts learn late. */
-const debtSlack = 0.5
+const debtSlackShare = 0.5
 /** What a program takes before any was seen to end, in requests. */
-const presetPerProgram = 10
+const initialRequestsPerProgram = 10
 /** Programs that the preset weighs as much as. */
-const presetWeight = 1
+const initialProgramWeight = 1
 /** Half to two thirds of a program's time, in ms: the pace at which programs come to be counted. */
-const youngMs = 1_500
+const youngDecayMs = 1_500
 /** Pace at which counts of requests are forgotten, in ms. */
-const recentMs = 10_000
+const recentDecayMs = 10_000
 /** Bounds of the time to come back, in ms: a limit that is empty now is worth another question soon, and none waits for minutes. */
-const leastWaitMs = 100
-const mostWaitMs = 5_000
+const minWaitMs = 100
+const maxWaitMs = 5_000
 
 /** The most that a quiet account may send at once. */
 export function computeCapacity (limit: MeterLimit): number {
-  return Math.max(1, limit.burst + limit.slack * burstSlack)
+  return Math.max(1, limit.burst + limit.slack * burstSlackShare)
 }
 
 /** A meter of which no more is known than how many requests are left. */
@@ -79,17 +79,17 @@
 
 /** A meter that goes on from what is known; now: monotonic ms. */
 export function createMeter (limit: MeterLimit, { level, uncommitted, young, recent }: MeterState, now: number): AccountMeter {
-  return applyLimit({ limit, level, uncommitted, young, recent, at: now }, limit)
+  return applyLimit({ limit, level, uncommitted, young, recent, updatedAt: now }, limit)
 }
 
 /** What hosts and owners tell one another of a meter. */
-export function stateOf ({ level, uncommitted, young, recent }: AccountMeter): MeterState {
+export function toState ({ level, uncommitted, young, recent }: AccountMeter): MeterState {
   return { level, uncommitted, young, recent }
 }
 
 /** The level that an account starts with where nobody knows what it has sent: a second's worth, as a restart takes longer. */
-export function unknownLevel (limit: MeterLimit): number {
-  return Math.min(computeCapacity(limit), limit.requestsPerSecond + limit.slack * burstSlack)
+export function computeInitialLevel (limit: MeterLimit): number {
+  return Math.min(computeCapacity(limit), limit.requestsPerSecond + limit.slack * burstSlackShare)
 }
 
 /** Another limit is in force. */
@@ -102,17 +102,17 @@
 export function refillMeter (meter: AccountMeter, now: number): AccountMeter {
   const { limit, level, uncommitted, young, recent } = meter
   const capacity = computeCapacity(limit)
-  const elapsedMs = Math.max(0, now - meter.at)
-  const freed = limit.requestsPerSecond * elapsedMs / 1_000
-  const kept = Math.exp(-elapsedMs / recentMs)
-  const stillYoung = young * Math.exp(-elapsedMs / youngMs)
+  const elapsedMs = Math.max(0, now - meter.updatedAt)
+  const refilled = limit.requestsPerSecond * elapsedMs / 1_000
+  const decayFactor = Math.exp(-elapsedMs / recentDecayMs)
+  const remainingYoung = young * Math.exp(-elapsedMs / youngDecayMs)
   return {
     limit,
-    level: Math.min(capacity, level + freed),
-    uncommitted: Math.min(capacity, uncommitted + freed),
-    young: stillYoung,
-    recent: { first: recent.first * kept + young - stillYoung, further: recent.further * kept },
-    at: Math.max(now, meter.at)
+    level: Math.min(capacity, level + refilled),
+    uncommitted: Math.min(capacity, uncommitted + refilled),
+    young: remainingYoung,
+    recent: { first: recent.first * decayFactor + young - remainingYoung, further: recent.further * decayFactor },
+    updatedAt: Math.max(now, meter.updatedAt)
   }
 }
 
@@ -122,30 +122,30 @@
   return {
     ...meter,
     level: meter.level - first - further,
-    uncommitted: meter.uncommitted - first * perProgram(meter),
+    uncommitted: meter.uncommitted - first * computeRequestsPerProgram(meter),
     young: Math.max(0, meter.young + first),
     recent: { first: meter.recent.first, further: Math.max(0, meter.recent.further + further) }
   }
 }
 
 /** Requests that a program takes from its first to its last, as lately seen. */
-function perProgram (meter: AccountMeter): number {
+function computeRequestsPerProgram (meter: AccountMeter): number {
   const { first, further } = meter.recent
-  return (presetPerProgram * presetWeight + first + further) / (presetWeight + first)
+  return (initialRequestsPerProgram * initialProgramWeight + first + further) / (initialProgramWeight + first)
 }
 
 /**
  * How many requests a part has to spare, a filled meter taken for granted: at 0 or above the next one may be sent. The
  * last program that begins may be charged beyond what is left, so that small accounts get theirs as well.
  */
-export function computeHeadroom (meter: AccountMeter, part: RequestPosition): number {
+export function computeHeadroom (meter: AccountMeter, position: RequestPosition): number {
   const { limit, level, uncommitted } = meter
-  return part === 'further' ? level - 1 + limit.slack * debtSlack : Math.min(level - 1, uncommitted)
+  return position === 'further' ? level - 1 + limit.slack * debtSlackShare : Math.min(level - 1, uncommitted)
 }
 
 /** When a part that has no room now will have some if nobody else asks, in ms. */
-export function computeWaitMs (meter: AccountMeter, part: RequestPosition): number {
+export function computeWaitMs (meter: AccountMeter, position: RequestPosition): number {
   const { requestsPerSecond } = meter.limit
-  const waitMs = requestsPerSecond > 0 ? -computeHeadroom(meter, part) / requestsPerSecond * 1_000 : mostWaitMs
-  return Math.round(Math.min(mostWaitMs, Math.max(leastWaitMs, waitMs)))
+  const waitMs = requestsPerSecond > 0 ? -computeHeadroom(meter, position) / requestsPerSecond * 1_000 : maxWaitMs
+  return Math.round(Math.min(maxWaitMs, Math.max(minWaitMs, waitMs)))
 }
--- a/packages/decide/meter-account/src/meter-book.ts
+++ b/packages/decide/meter-account/src/meter-registry.ts
@@ -31,83 +31,83 @@
   readonly waitMs: accountMeter.RequestCounts
 }
 
-interface Entry {
+interface AccountEntry {
   readonly meter: accountMeter.AccountMeter
   /** The term of ownership in which it was counted: what was counted in another one says nothing of what was sent in between. */
   readonly term: number
   /** Version of the configuration that its limit is from. */
-  readonly version: number
+  readonly configVersion: number
   /** What the term began with, as if nothing had been sent since. */
-  readonly begun: accountMeter.AccountMeter
+  readonly baseline: accountMeter.AccountMeter
 }
 
 /** A meter without a report for this long, in ms, is full again or as good as. */
-const idleMs = 60_000
+const idleTimeoutMs = 60_000
 
 /** The meters of all accounts that this process counts. */
 export class MeterRegistry {
-  private readonly entries = new Map<types.AccountId, Entry>()
+  private readonly accounts = new Map<types.AccountId, AccountEntry>()
 
   get size (): number {
-    return this.entries.size
+    return this.accounts.size
   }
 
   /** Settles one report; term: of this process's ownership of the account; version: of the reporter's configuration; now: monotonic ms. */
-  applyReport (report: MeterReport, term: number, version: number, now: number): MeterAnswer {
-    const entry = this.current(report, term, version, now)
+  applyReport (report: MeterReport, term: number, configVersion: number, now: number): MeterAnswer {
+    const entry = this.getCurrentEntry(report, term, configVersion, now)
     let meter = accountMeter.spend(accountMeter.refillMeter(entry.meter, now), report.spent)
     const granted = { first: 0, further: 0 }
     // Programs under way go first.
-    for (const part of ['further', 'first'] as const) {
-      while (granted[part] < report.asked[part] && accountMeter.computeHeadroom(meter, part) >= 0) {
-        meter = accountMeter.spend(meter, accountMeter.createSingleCount(part))
-        granted[part] += 1
+    for (const position of ['further', 'first'] as const) {
+      while (granted[position] < report.asked[position] && accountMeter.computeHeadroom(meter, position) >= 0) {
+        meter = accountMeter.spend(meter, accountMeter.createSingleCount(position))
+        granted[position] += 1
       }
     }
-    this.entries.set(report.account, { ...entry, meter })
+    this.accounts.set(report.account, { ...entry, meter })
     const waitMs = { first: accountMeter.computeWaitMs(meter, 'first'), further: accountMeter.computeWaitMs(meter, 'further') }
-    return { account: report.account, term, state: accountMeter.stateOf(meter), granted, waitMs }
+    return { account: report.account, term, state: accountMeter.toState(meter), granted, waitMs }
   }
 
   /** Forgets accounts that are quiet. */
   prune (now: number): void {
-    for (const [account, { meter }] of this.entries) {
-      if (now - meter.at > idleMs) this.entries.delete(account)
+    for (const [account, { meter }] of this.accounts) {
+      if (now - meter.updatedAt > idleTimeoutMs) this.accounts.delete(account)
     }
   }
 
-  private current (report: MeterReport, term: number, version: number, now: number): Entry {
-    const known = this.entries.get(report.account)
-    if (known === undefined || known.term !== term) return begin(report, term, version, now)
-    const current = version > known.version ? limitTo(known, report.limit, version) : known
+  private getCurrentEntry (report: MeterReport, term: number, configVersion: number, now: number): AccountEntry {
+    const known = this.accounts.get(report.account)
+    if (known === undefined || known.term !== term) return createEntry(report, term, configVersion, now)
+    const current = configVersion > known.configVersion ? applyNewLimit(known, report.limit, configVersion) : known
     // A belief under another limit can't be compared.
-    return version === current.version ? correct(current, report, now) : current
+    return configVersion === current.configVersion ? lowerBaseline(current, report, now) : current
   }
 }
 
-function limitTo (entry: Entry, limit: accountMeter.MeterLimit, version: number): Entry {
-  return { ...entry, meter: accountMeter.applyLimit(entry.meter, limit), begun: accountMeter.applyLimit(entry.begun, limit), version }
+function applyNewLimit (entry: AccountEntry, limit: accountMeter.MeterLimit, configVersion: number): AccountEntry {
+  return { ...entry, meter: accountMeter.applyLimit(entry.meter, limit), baseline: accountMeter.applyLimit(entry.baseline, limit), configVersion }
 }
 
-function begin ({ limit, believed }: MeterReport, term: number, version: number, now: number): Entry {
-  const state = believed?.state ?? accountMeter.createState(accountMeter.unknownLevel(limit))
-  const begun = accountMeter.createMeter(limit, state, now)
-  return { meter: begun, begun, term, version }
+function createEntry ({ limit, believed }: MeterReport, term: number, configVersion: number, now: number): AccountEntry {
+  const state = believed?.state ?? accountMeter.createState(accountMeter.computeInitialLevel(limit))
+  const baseline = accountMeter.createMeter(limit, state, now)
+  return { meter: baseline, baseline, term, configVersion }
 }
 
 /**
  * What hosts heard from former owners differs by what was sent meanwhile: the lowest is the nearest to the truth, so what
  * the term began with is lowered whenever a host knows of less.
  */
-function correct (entry: Entry, { believed }: MeterReport, now: number): Entry {
+function lowerBaseline (entry: AccountEntry, { believed }: MeterReport, now: number): AccountEntry {
   if (believed === undefined || believed.term === entry.term) return entry
-  const begun = accountMeter.refillMeter(entry.begun, now)
-  const level = Math.min(begun.level, believed.state.level)
-  const uncommitted = Math.min(begun.uncommitted, believed.state.uncommitted)
+  const baseline = accountMeter.refillMeter(entry.baseline, now)
+  const level = Math.min(baseline.level, believed.state.level)
+  const uncommitted = Math.min(baseline.uncommitted, believed.state.uncommitted)
   const { meter } = entry
   return {
     ...entry,
-    begun: { ...begun, level, uncommitted },
-    meter: { ...meter, level: meter.level + level - begun.level, uncommitted: meter.uncommitted + uncommitted - begun.uncommitted }
+    baseline: { ...baseline, level, uncommitted },
+    meter: { ...meter, level: meter.level + level - baseline.level, uncommitted: meter.uncommitted + uncommitted - baseline.uncommitted }
   }
 }
