--- a/packages/decide/admit-program/src/admit-by-load.ts
+++ b/packages/decide/admit-program/src/admit-by-load.ts
@@ -20,21 +20,21 @@
 
 /** Loads between which the chance of a new program falls from 1 to nearly 0, as shares of the slots. */
 interface LoadRange {
-  readonly free: number
-  readonly full: number
+  readonly lower: number
+  readonly upper: number
 }
 
-const memoryBinds: LoadRange = { free: 0.6, full: 1.1 }
-const slotsBind: LoadRange = { free: 0.9, full: 1.5 }
+const memoryBoundRange: LoadRange = { lower: 0.6, upper: 1.1 }
+const slotBoundRange: LoadRange = { lower: 0.9, upper: 1.5 }
 /** What is still admitted then: loads may only be believed. */
-const leastChance = 0.05
+const minProbability = 0.05
 
 /** When a refused program may come back, in ms: its time to spare is about half a second. */
 export const loadRetryMs = 300
 
 /** Whether a new program is admitted. */
 export function admitByLoad ({ load, holdsAllSlots, random }: LoadAdmissionInput): boolean {
-  const { free, full } = holdsAllSlots ? slotsBind : memoryBinds
-  const chance = (full - load) / (full - free)
-  return random() < Math.max(leastChance, chance)
+  const { lower, upper } = holdsAllSlots ? slotBoundRange : memoryBoundRange
+  const probability = (upper - load) / (upper - lower)
+  return random() < Math.max(minProbability, probability)
 }
--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -11,7 +11,7 @@
    * near that for minutes. `worthUse` more for each doubling of the program's worth (its weight for each second
    * that it is expected to run) above the usual one, and as much less below.
    */
-  | { readonly type: 'inTime', readonly minLikelihood: number, readonly peakUse: number, readonly sustainedUse: number, readonly worthUse: number }
+  | { readonly type: 'inTime', readonly minLikelihood: number, readonly peakUse: number, readonly sustainedUse: number, readonly usePerDoubling: number }
 
 /** What admission is decided from; times in milliseconds. */
 export interface AdmissionInput {
@@ -55,35 +55,35 @@
   | { readonly type: 'admit', readonly reason: AdmissionReason }
   | { readonly type: 'refuse', readonly retryAfterMs: number, readonly reason: AdmissionReason }
 
-export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, worthUse: 0.1 }
+export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, usePerDoubling: 0.1 }
 
 /** Silence after which an admitted program no longer counts as demand, until its next call. */
 export const programIdleTimeoutMs = 30_000
 /** Shortest time to come back that is worth naming. */
-const shortestRetryAfterMs = 1_000
+const minRetryAfterMs = 1_000
 /** Part of the sustained use from which on the room shrinks. */
-const sustainedFrom = 0.8
+const sustainedThreshold = 0.8
 /** Bounds what worth may do to a program's room. */
-const mostDoublings = 2
+const maxDoublings = 2
 /** Standard deviation of a normal distribution, in mean absolute deviations. */
-const deviationsOfMean = 1.25
+const sigmaPerMeanDeviation = 1.25
 /** Least standard deviation that is believed, as a part of the mean. */
-const smallestVariation = 0.1
+const minVariation = 0.1
 /** Part of its spare time that a refused program is asked to wait. */
-const sparePart = 1 / 3
+const spareTimeShare = 1 / 3
 /** Longest one: the estimate does not reach further. */
-const longestRetryAfterMs = 300_000
+const maxRetryAfterMs = 300_000
 
 export function decideAdmission (rule: AdmissionRule, input: AdmissionInput): AdmissionDecision {
   switch (rule.type) {
     case 'none': return { type: 'admit', reason: { type: 'rule' } }
-    case 'queueBound': return boundQueue(rule, input)
-    case 'inTime': return weighLikelihood(rule, input)
+    case 'queueBound': return applyQueueBound(rule, input)
+    case 'inTime': return decideByLikelihood(rule, input)
     default: return errors.unreachable(rule)
   }
 }
 
-function boundQueue (rule: Extract<AdmissionRule, { type: 'queueBound' }>, input: AdmissionInput): AdmissionDecision {
+function applyQueueBound (rule: Extract<AdmissionRule, { type: 'queueBound' }>, input: AdmissionInput): AdmissionDecision {
   const most = rule.waitingPerSlot * input.slots
   const reason: AdmissionReason = { type: 'queue', waiting: input.waiting, most }
   if (input.waiting <= most) return { type: 'admit', reason }
@@ -91,65 +91,65 @@
   return { type: 'refuse', retryAfterMs, reason }
 }
 
-function weighLikelihood (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): AdmissionDecision {
-  const alone = likelihoodOf(input, 1)
-  if (alone < rule.minLikelihood) {
+function decideByLikelihood (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): AdmissionDecision {
+  const idleLikelihood = computeLikelihood(input, 1)
+  if (idleLikelihood < rule.minLikelihood) {
     const retryAfterMs = clampRetryAfter(input.deadline - input.now)
-    return { type: 'refuse', retryAfterMs, reason: { type: 'deadlineTooClose', likelihood: alone } }
+    return { type: 'refuse', retryAfterMs, reason: { type: 'deadlineTooClose', likelihood: idleLikelihood } }
   }
-  const likelihood = likelihoodOf(input, Math.max(1, input.slowdown))
+  const likelihood = computeLikelihood(input, Math.max(1, input.slowdown))
   const use = (input.demand + input.runMs / Math.max(1, input.expectedMs)) / Math.max(1, input.slots)
-  const mostUse = roomOf(rule, input) + rule.worthUse * worthOf(input)
+  const mostUse = computeUseLimit(rule, input) + rule.usePerDoubling * computeValueDoublings(input)
   const reason: AdmissionReason = { type: 'likelihood', likelihood, use, mostUse }
   if (likelihood >= rule.minLikelihood && use <= mostUse) return { type: 'admit', reason }
-  return { type: 'refuse', retryAfterMs: freeAgainMs(input, use, mostUse), reason }
+  return { type: 'refuse', retryAfterMs: computeRetryAfterMs(input, use, mostUse), reason }
 }
 
 /** Calls for each slot that may run: falls from the peak to the sustained figure as the mean approaches the latter. */
-function roomOf (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): number {
-  const nearness = (input.meanUtilization / rule.sustainedUse - sustainedFrom) / (1 - sustainedFrom)
-  const part = Math.max(0, Math.min(1, nearness))
-  return rule.peakUse - (rule.peakUse - rule.sustainedUse) * part
+function computeUseLimit (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): number {
+  const nearness = (input.meanUtilization / rule.sustainedUse - sustainedThreshold) / (1 - sustainedThreshold)
+  const progress = Math.max(0, Math.min(1, nearness))
+  return rule.peakUse - (rule.peakUse - rule.sustainedUse) * progress
 }
 
 /** Doublings of the usual worth, within bounds. */
-function worthOf (input: AdmissionInput): number {
-  const worth = input.weight / Math.max(1, input.runMs)
-  const doublings = Math.log2(worth / input.meanValueDensity)
-  return Math.max(-mostDoublings, Math.min(mostDoublings, doublings))
+function computeValueDoublings (input: AdmissionInput): number {
+  const valueDensity = input.weight / Math.max(1, input.runMs)
+  const doublings = Math.log2(valueDensity / input.meanValueDensity)
+  return Math.max(-maxDoublings, Math.min(maxDoublings, doublings))
 }
 
 /** Likelihood that the program finishes in time when its calls take `stretch` times as long as they run. */
-function likelihoodOf (input: AdmissionInput, stretch: number): number {
-  const waitMs = (stretch - 1) * input.runMs
-  return logNormalShare(input.deadline - input.now - waitMs, input.expectedMs, input.expectedMsDeviation)
+function computeLikelihood (input: AdmissionInput, slowdown: number): number {
+  const waitMs = (slowdown - 1) * input.runMs
+  return computeLogNormalCdf(input.deadline - input.now - waitMs, input.expectedMs, input.expectedMsDeviation)
 }
 
 /**
  * When another try is worth it: when so many admitted programs have ended that this one would fit, or else after a
  * part of the time that it can spare, in which the load may have changed.
  */
-function freeAgainMs (input: AdmissionInput, use: number, mostUse: number): number {
+function computeRetryAfterMs (input: AdmissionInput, use: number, mostUse: number): number {
   const excess = Math.max(0, use - mostUse) / Math.max(use, Number.EPSILON)
   const spareMs = input.deadline - input.now - input.expectedMs
-  return clampRetryAfter(Math.max(input.expectedMs * excess, spareMs * sparePart))
+  return clampRetryAfter(Math.max(input.expectedMs * excess, spareMs * spareTimeShare))
 }
 
 function clampRetryAfter (ms: number): number {
-  return Math.round(Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, ms)))
+  return Math.round(Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, ms)))
 }
 
 /** Share of a log-normal distribution below a value; program times have a long tail. */
-function logNormalShare (value: number, mean: number, meanDeviation: number): number {
+function computeLogNormalCdf (value: number, mean: number, meanDeviation: number): number {
   if (value <= 0) return 0
-  const variation = deviationsOfMean * meanDeviation / Math.max(1, mean)
-  const sigma = Math.sqrt(Math.log(1 + Math.max(smallestVariation, variation) ** 2))
+  const variation = sigmaPerMeanDeviation * meanDeviation / Math.max(1, mean)
+  const sigma = Math.sqrt(Math.log(1 + Math.max(minVariation, variation) ** 2))
   const median = Math.max(1, mean) * Math.exp(-sigma * sigma / 2)
-  return normalShare(Math.log(value / median) / sigma)
+  return computeNormalCdf(Math.log(value / median) / sigma)
 }
 
 /** Share of the normal distribution below a value in standard deviations, within 0.01. */
-function normalShare (x: number): number {
+function computeNormalCdf (x: number): number {
   const steepness = 1.702
   return 1 / (1 + Math.exp(-steepness * x))
 }
--- a/packages/decide/admit-program/src/index.ts
+++ b/packages/decide/admit-program/src/index.ts
@@ -1,5 +1,5 @@
 /** Decides whether a new program is admitted. */
 export * from './decide-admission.js'
 export * from './usable-slots.js'
-export * from './mean-use.js'
+export * from './mean-utilization.js'
 export * from './admit-by-load.js'
--- a/packages/decide/admit-program/src/usable-slots.ts
+++ b/packages/decide/admit-program/src/usable-slots.ts
@@ -1,6 +1,6 @@
 /** How many calls an engine really runs at once: long prompts fill its memory before its batch is full. */
 
-export interface EngineRoom {
+export interface EngineCapacity {
   /** Streams of a batch. */
   readonly slots: number
   /** Tokens that the engine's memory holds, for running calls and cached prefixes together. */
@@ -10,8 +10,8 @@
 }
 
 /** Part of the memory for running calls; the rest is left for the prefixes of programs that pause. */
-const runningPart = 0.6
+const runningCallShare = 0.6
 
-export function computeUsableSlots (room: EngineRoom): number {
-  return Math.min(room.slots, runningPart * room.cacheTokens / Math.max(1, room.meanCallTokens))
+export function computeUsableSlots (capacity: EngineCapacity): number {
+  return Math.min(capacity.slots, runningCallShare * capacity.cacheTokens / Math.max(1, capacity.meanCallTokens))
 }
