--- a/packages/decide/route-request/src/route-table.ts
+++ b/packages/decide/route-request/src/route-table.ts
@@ -11,7 +11,7 @@
 /** A host's routes by prefix, and the lengths that occur, longest first. */
 interface HostRoutes {
   readonly byPrefix: Map<string, routing.Route>
-  lengths: readonly number[]
+  prefixLengths: readonly number[]
 }
 
 /** A lookup costs one hash probe for each distinct prefix length of the host, whatever the number of routes. */
@@ -19,36 +19,36 @@
   const hosts = new Map<string, HostRoutes>()
   for (const route of routes) {
     const host = route.host.toLowerCase()
-    const entry = hosts.get(host) ?? { byPrefix: new Map<string, routing.Route>(), lengths: [] }
-    entry.byPrefix.set(route.pathPrefix, route)
-    hosts.set(host, entry)
+    const hostRoutes = hosts.get(host) ?? { byPrefix: new Map<string, routing.Route>(), prefixLengths: [] }
+    hostRoutes.byPrefix.set(route.pathPrefix, route)
+    hosts.set(host, hostRoutes)
   }
-  for (const entry of hosts.values()) {
-    const lengths = new Set([...entry.byPrefix.keys()].map((prefix) => prefix.length))
-    entry.lengths = [...lengths].sort((a, b) => b - a)
+  for (const hostRoutes of hosts.values()) {
+    const lengths = new Set([...hostRoutes.byPrefix.keys()].map((prefix) => prefix.length))
+    hostRoutes.prefixLengths = [...lengths].sort((a, b) => b - a)
   }
-  return { find: (host, path) => findRoute(hosts.get(hostName(host)), path) }
+  return { find: (host, path) => findRoute(hosts.get(normalizeHost(host)), path) }
 }
 
 /** The host without its port, in lower case. */
-function hostName (host: string): string {
+function normalizeHost (host: string): string {
   const colon = host.indexOf(':')
   const name = colon === -1 ? host : host.slice(0, colon)
   return name.toLowerCase()
 }
 
-function findRoute (entry: HostRoutes | undefined, path: string): routing.Route | undefined {
-  if (entry === undefined) return undefined
-  const bare = withoutQuery(path)
-  for (const length of entry.lengths) {
-    if (length > bare.length) continue
-    const route = entry.byPrefix.get(bare.slice(0, length))
+function findRoute (hostRoutes: HostRoutes | undefined, path: string): routing.Route | undefined {
+  if (hostRoutes === undefined) return undefined
+  const pathname = stripQuery(path)
+  for (const length of hostRoutes.prefixLengths) {
+    if (length > pathname.length) continue
+    const route = hostRoutes.byPrefix.get(pathname.slice(0, length))
     if (route !== undefined) return route
   }
   return undefined
 }
 
-function withoutQuery (path: string): string {
+function stripQuery (path: string): string {
   const query = path.indexOf('?')
   return query === -1 ? path : path.slice(0, query)
 }
@@ -56,10 +56,10 @@
 /** Draws a service by weight; `random` is uniform in [0, 1). */
 export function chooseService (route: routing.Route, random: () => number): types.ServiceId | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
-  let left = random() * total
+  let remaining = random() * total
   for (const target of route.targets) {
-    left -= target.weight
-    if (left < 0) return target.service
+    remaining -= target.weight
+    if (remaining < 0) return target.service
   }
   return route.targets.at(-1)?.service
 }
