--- a/packages/decide/identify-client/src/account-directory.ts
+++ b/packages/decide/identify-client/src/account-directory.ts
@@ -24,7 +24,7 @@
     if (byName.has(account.name)) throw new AccountError(`account ${account.name}: name: expected one account of this name`)
     byName.set(account.name, account)
     for (const [index, key] of account.keys.entries()) {
-      const digest = digestOf(key)
+      const digest = computeDigest(key)
       const other = byDigest.get(digest)
       if (other !== undefined && other !== account) throw new AccountError(`account ${account.name}: keys.${index}: expected a key that account ${other.name} does not have`)
       byDigest.set(digest, account)
@@ -32,12 +32,12 @@
   }
   return {
     isEnabled: accounts !== undefined,
-    findByKey: (key) => byDigest.get(digestOf(key)),
+    findByKey: (key) => byDigest.get(computeDigest(key)),
     findByName: (name) => byName.get(name)
   }
 }
 
 /** Keys are looked up by digest, so that the time that it takes says nothing about how near a guess is. */
-function digestOf (key: string): string {
+function computeDigest (key: string): string {
   return crypto.createHash('sha256').update(key).digest('base64')
 }
--- a/packages/decide/identify-client/src/identify-client.test.ts
+++ b/packages/decide/identify-client/src/identify-client.test.ts
@@ -5,17 +5,17 @@
 import * as accountDirectory from './account-directory.js'
 import * as identify from './identify.js'
 
-function account (name: string, ...keys: string[]): routeRequest.ClientAccount {
+function createAccount (name: string, ...keys: string[]): routeRequest.ClientAccount {
   return { name: name as types.AccountId, keys, limit: undefined }
 }
 
-const directory = accountDirectory.createAccountDirectory([account('coaches', 'k-1', 'k-2'), account('leagues', 'k-3')])
-const closed = { isPublic: false }
-const open = { isPublic: true }
+const directory = accountDirectory.createAccountDirectory([createAccount('coaches', 'k-1', 'k-2'), createAccount('leagues', 'k-3')])
+const privateRoute = { isPublic: false }
+const publicRoute = { isPublic: true }
 
 tap.test('any key of an account names it', (t) => {
   for (const [key, name] of [['k-1', 'coaches'], ['k-2', 'coaches'], ['k-3', 'leagues']] as const) {
-    t.same(identify.identifyCaller(directory, closed, { type: 'key', key }), { type: 'caller', caller: { type: 'account', account: name } })
+    t.same(identify.identifyCaller(directory, privateRoute, { type: 'key', key }), { type: 'caller', caller: { type: 'account', account: name } })
   }
   t.end()
 })
@@ -23,26 +23,26 @@
 tap.test('without a known key only public routes are open', (t) => {
   const presented: identify.PresentedKey[] = [{ type: 'none' }, { type: 'unreadable' }, { type: 'key', key: 'k-4' }, { type: 'key', key: '' }, { type: 'key', key: 'K-1' }]
   for (const key of presented) {
-    t.same(identify.identifyCaller(directory, closed, key), { type: 'unknownKey' }, JSON.stringify(key))
-    t.same(identify.identifyCaller(directory, open, key), { type: 'caller', caller: { type: 'anonymous' } }, JSON.stringify(key))
+    t.same(identify.identifyCaller(directory, privateRoute, key), { type: 'unknownKey' }, JSON.stringify(key))
+    t.same(identify.identifyCaller(directory, publicRoute, key), { type: 'caller', caller: { type: 'anonymous' } }, JSON.stringify(key))
   }
   t.end()
 })
 
 tap.test('a configuration without accounts asks for no key, one with an empty list refuses all', (t) => {
   const none = accountDirectory.createAccountDirectory(undefined)
-  t.same(identify.identifyCaller(none, closed, { type: 'key', key: 'k-1' }), { type: 'caller', caller: { type: 'anyone' } })
+  t.same(identify.identifyCaller(none, privateRoute, { type: 'key', key: 'k-1' }), { type: 'caller', caller: { type: 'anyone' } })
   const empty = accountDirectory.createAccountDirectory([])
-  t.same(identify.identifyCaller(empty, closed, { type: 'key', key: 'k-1' }), { type: 'unknownKey' })
+  t.same(identify.identifyCaller(empty, privateRoute, { type: 'key', key: 'k-1' }), { type: 'unknownKey' })
   t.end()
 })
 
 tap.test('accounts that share a key or a name are refused, and the error shows no key', (t) => {
-  t.throws(() => accountDirectory.createAccountDirectory([account('a', 'secret-1'), account('b', 'x', 'secret-1')]), /account b: keys\.1/)
-  t.throws(() => accountDirectory.createAccountDirectory([account('a', 'x'), account('a', 'y')]), /account a: name/)
-  t.doesNotThrow(() => accountDirectory.createAccountDirectory([account('a', 'x', 'x')]))
+  t.throws(() => accountDirectory.createAccountDirectory([createAccount('a', 'secret-1'), createAccount('b', 'x', 'secret-1')]), /account b: keys\.1/)
+  t.throws(() => accountDirectory.createAccountDirectory([createAccount('a', 'x'), createAccount('a', 'y')]), /account a: name/)
+  t.doesNotThrow(() => accountDirectory.createAccountDirectory([createAccount('a', 'x', 'x')]))
   try {
-    accountDirectory.createAccountDirectory([account('a', 'secret-1'), account('b', 'secret-1')])
+    accountDirectory.createAccountDirectory([createAccount('a', 'secret-1'), createAccount('b', 'secret-1')])
   } catch (err) {
     t.notMatch(String((err as Error).stack), /secret-1/)
   }
--- a/packages/decide/identify-client/src/identify.ts
+++ b/packages/decide/identify-client/src/identify.ts
@@ -19,12 +19,12 @@
   | { readonly type: 'account', readonly account: types.AccountId }
 
 /** What a request is told, if it may not go on. */
-export type Identified =
+export type IdentifyResult =
   | { readonly type: 'caller', readonly caller: Caller }
   | { readonly type: 'unknownKey' }
 
 /** Decides who asks. On a public route a key is not needed, but one that is known counts. */
-export function identifyCaller (directory: accountDirectory.AccountDirectory, route: Pick<routeRequest.Route, 'isPublic'>, presented: PresentedKey): Identified {
+export function identifyCaller (directory: accountDirectory.AccountDirectory, route: Pick<routeRequest.Route, 'isPublic'>, presented: PresentedKey): IdentifyResult {
   if (!directory.isEnabled) return { type: 'caller', caller: { type: 'anyone' } }
   const account = presented.type === 'key' ? directory.findByKey(presented.key) : undefined
   if (account !== undefined) return { type: 'caller', caller: { type: 'account', account: account.name } }
