--- a/packages/decide/place-call/src/candidate.ts
+++ b/packages/decide/place-call/src/candidate.ts
@@ -63,8 +63,8 @@
   readonly random: () => number
 }
 
-/** A candidate that was weighed, and at what price. */
-export interface Considered {
+/** A candidate that was weighed, and at what costs. */
+export interface ConsideredCandidate {
   readonly upstream: types.UpstreamId
   /** Calls that run or wait there, as believed. */
   readonly load: number
@@ -93,7 +93,7 @@
     /** Where to import the prefix from; undefined to recompute what is not cached. */
     readonly importFrom: types.UpstreamId | undefined
     readonly reason: PlaceReason
-    readonly considered: readonly Considered[]
+    readonly considered: readonly ConsideredCandidate[]
   }
   | { readonly type: 'none', readonly retryAfterMs: number, readonly reason: 'noUpstream' | 'allLeaving' }
 
--- /dev/null
+++ b/packages/decide/place-call/src/in-flight-history.ts
@@ -0,0 +1,54 @@
+/** Counts a process's own calls in flight by upstream, now and at the time of a late report. */
+import type * as types from '@eelgrasswind/types'
+
+export interface InFlightHistory {
+  begin: (upstream: types.UpstreamId, now: number) => void
+  end: (upstream: types.UpstreamId, now: number) => void
+  getInFlight: (upstream: types.UpstreamId) => number
+  /** How many were in flight at a past time, as far back as `memoryMs`. */
+  getInFlightAt: (upstream: types.UpstreamId, at: number) => number
+}
+
+interface Change {
+  readonly at: number
+  readonly countAfter: number
+}
+
+/** How far back counts are kept: longer than load reports are late. */
+export const inFlightHistoryMs = 30_000
+
+export function createInFlightHistory (historyMs = inFlightHistoryMs): InFlightHistory {
+  const changes = new Map<types.UpstreamId, Change[]>()
+
+  function recordChange (upstream: types.UpstreamId, delta: number, now: number): void {
+    const upstreamChanges = changes.get(upstream) ?? []
+    changes.set(upstream, upstreamChanges)
+    upstreamChanges.push({ at: now, countAfter: Math.max(0, getInFlight(upstream) + delta) })
+    trimHistory(upstreamChanges, now - historyMs)
+  }
+
+  function getInFlight (upstream: types.UpstreamId): number {
+    return changes.get(upstream)?.at(-1)?.countAfter ?? 0
+  }
+
+  function getInFlightAt (upstream: types.UpstreamId, at: number): number {
+    const upstreamChanges = changes.get(upstream) ?? []
+    const last = upstreamChanges.findLast((change) => change.at <= at)
+    return last?.countAfter ?? 0
+  }
+
+  return {
+    begin: (upstream, now) => recordChange(upstream, 1, now),
+    end: (upstream, now) => recordChange(upstream, -1, now),
+    getInFlight,
+    getInFlightAt
+  }
+}
+
+/** Drops all changes before a time but the last of them, once many have gathered. */
+function trimHistory (upstreamChanges: Change[], before: number): void {
+  const minChangesToTrim = 64
+  if (upstreamChanges.length < minChangesToTrim) return
+  const keepFrom = upstreamChanges.findLastIndex((change) => change.at <= before)
+  if (keepFrom > upstreamChanges.length / 2) upstreamChanges.splice(0, keepFrom)
+}
--- a/packages/decide/place-call/src/index.ts
+++ b/packages/decide/place-call/src/index.ts
@@ -1,5 +1,5 @@
 /** Decides which engine or service host takes the next call. */
 export * from './candidate.js'
 export * from './place-call.js'
-export * from './own-calls.js'
+export * from './in-flight-history.js'
 export * from './slow-upstreams.js'
--- a/packages/decide/place-call/src/place-call.test.ts
+++ b/packages/decide/place-call/src/place-call.test.ts
@@ -2,14 +2,14 @@
 import * as fc from 'fast-check'
 import type * as types from '@eelgrasswind/types'
 import * as candidates from './candidate.js'
-import * as ownCalls from './own-calls.js'
+import * as inFlightHistory from './in-flight-history.js'
 import * as placeCall from './place-call.js'
 import * as slowUpstreams from './slow-upstreams.js'
 
-function candidate (at: number, over: Partial<candidates.Candidate> = {}): candidates.Candidate {
+function createCandidate (index: number, overrides: Partial<candidates.Candidate> = {}): candidates.Candidate {
   return {
-    upstream: `u${at}` as types.UpstreamId,
-    host: `h${at}` as types.HostId,
+    upstream: `u${index}` as types.UpstreamId,
+    host: `h${index}` as types.HostId,
     availabilityZone: 'makati-a' as types.AvailabilityZoneId,
     inFlight: 0,
     reported: { running: 0, waiting: 0, at: 0 },
@@ -18,20 +18,20 @@
     cachedTokens: 0,
     state: 'live',
     slowFactor: 1,
-    ...over
+    ...overrides
   }
 }
 
-function input (all: readonly candidates.Candidate[], over: Partial<candidates.PlaceInput> = {}): candidates.PlaceInput {
+function createInput (candidates: readonly candidates.Candidate[], overrides: Partial<candidates.PlaceInput> = {}): candidates.PlaceInput {
   return {
     home: 'h0' as types.HostId,
     lastUpstream: undefined,
-    candidates: all,
+    candidates,
     promptTokens: 2_000,
     expectedTokens: 100,
     turn: 0,
     random: () => 0,
-    ...over
+    ...overrides
   }
 }
 
@@ -44,9 +44,9 @@
 
 tap.test('never a leaving upstream, and a suspect one only for want of a live one', async (t) => {
   const states = fc.array(fc.constantFrom('live' as const, 'leaving' as const, 'suspect' as const), { maxLength: 6 })
-  fc.assert(fc.property(fc.constantFrom(...rules), states, fc.nat(20), fc.double({ min: 0, max: 0.999, noNaN: true }), (rule, all, turn, drawn) => {
-    const offered = all.map((state, at) => candidate(at, { state }))
-    const placement = placeCall.placeCall(rule, input(offered, { turn, random: () => drawn, lastUpstream: offered[0]?.upstream }))
+  fc.assert(fc.property(fc.constantFrom(...rules), states, fc.nat(20), fc.double({ min: 0, max: 0.999, noNaN: true }), (rule, all, turn, randomValue) => {
+    const offered = all.map((state, at) => createCandidate(at, { state }))
+    const placement = placeCall.placeCall(rule, createInput(offered, { turn, random: () => randomValue, lastUpstream: offered[0]?.upstream }))
     const wanted = all.includes('live') ? 'live' : all.includes('suspect') ? 'suspect' : 'none'
     if (placement.type === 'none') return wanted === 'none' && placement.retryAfterMs > 0
     return offered.find(({ upstream }) => upstream === placement.upstream)?.state === wanted
@@ -54,47 +54,47 @@
 })
 
 tap.test('round robin takes turns, least loaded believes reports, two choices count own calls', async (t) => {
-  const busy = candidate(0, { inFlight: 9, reported: { running: 0, waiting: 0, at: 0 } })
-  const idle = candidate(1, { reported: { running: 2, waiting: 0, at: 0 } })
+  const busy = createCandidate(0, { inFlight: 9, reported: { running: 0, waiting: 0, at: 0 } })
+  const idle = createCandidate(1, { reported: { running: 2, waiting: 0, at: 0 } })
   const both = [busy, idle]
-  t.match(placeCall.placeCall({ type: 'roundRobin' }, input(both, { turn: 1 })), { upstream: 'u1' })
-  t.match(placeCall.placeCall({ type: 'leastLoaded' }, input(both)), { upstream: 'u0' })
-  t.match(placeCall.placeCall({ type: 'twoChoices' }, input(both)), { upstream: 'u1', reason: { type: 'betterOfTwo' } })
+  t.match(placeCall.placeCall({ type: 'roundRobin' }, createInput(both, { turn: 1 })), { upstream: 'u1' })
+  t.match(placeCall.placeCall({ type: 'leastLoaded' }, createInput(both)), { upstream: 'u0' })
+  t.match(placeCall.placeCall({ type: 'twoChoices' }, createInput(both)), { upstream: 'u1', reason: { type: 'betterOfTwo' } })
 })
 
 tap.test('own calls that were reported are not counted twice', async (t) => {
-  const reported = candidate(0, { inFlight: 3, inFlightAtReport: 3, reported: { running: 3, waiting: 0, at: 0 } })
-  const placement = placeCall.placeCall({ type: 'twoChoices' }, input([reported]))
+  const reported = createCandidate(0, { inFlight: 3, inFlightAtReport: 3, reported: { running: 3, waiting: 0, at: 0 } })
+  const placement = placeCall.placeCall({ type: 'twoChoices' }, createInput([reported]))
   t.match(placement, { considered: [{ load: 3 }] })
 })
 
 tap.test('stays at home while that is cheaper, else spills and sticks', async (t) => {
-  const warm = candidate(0, { cachedTokens: 2_000 })
-  t.match(placeCall.placeCall(homeFirst, input([warm, candidate(1)])), { upstream: 'u0', reason: { type: 'home' } })
-  const full = { ...warm, reported: { running: 4, waiting: 8, at: 0 } }
-  t.match(placeCall.placeCall(homeFirst, input([full, candidate(1)])), { upstream: 'u1', importFrom: 'u0', reason: { type: 'spill', prefix: 'import' } })
+  const cached = createCandidate(0, { cachedTokens: 2_000 })
+  t.match(placeCall.placeCall(homeFirst, createInput([cached, createCandidate(1)])), { upstream: 'u0', reason: { type: 'home' } })
+  const full = { ...cached, reported: { running: 4, waiting: 8, at: 0 } }
+  t.match(placeCall.placeCall(homeFirst, createInput([full, createCandidate(1)])), { upstream: 'u1', importFrom: 'u0', reason: { type: 'spill', prefix: 'import' } })
   const noImport: candidates.PlaceRule = { ...homeFirst, costs: candidates.defaultPlaceCosts }
-  t.match(placeCall.placeCall(noImport, input([full, candidate(1)])), { upstream: 'u1', importFrom: undefined, reason: { prefix: 'recompute' } })
-  const moved = input([candidate(0), candidate(1, { cachedTokens: 2_000 })], { lastUpstream: 'u1' as types.UpstreamId })
+  t.match(placeCall.placeCall(noImport, createInput([full, createCandidate(1)])), { upstream: 'u1', importFrom: undefined, reason: { prefix: 'recompute' } })
+  const moved = createInput([createCandidate(0), createCandidate(1, { cachedTokens: 2_000 })], { lastUpstream: 'u1' as types.UpstreamId })
   t.match(placeCall.placeCall(homeFirst, moved), { upstream: 'u1', reason: { type: 'prefix', cachedTokens: 2_000 } })
 })
 
 tap.test('an upstream that is slow but reports itself healthy is noticed and left', async (t) => {
-  const slow = slowUpstreams.createSlowUpstreamDetector()
+  const detector = slowUpstreams.createSlowUpstreamDetector()
   const names = ['u0', 'u1', 'u2'] as types.UpstreamId[]
   for (let now = 0; now < 3_000; now += 100) {
-    for (const name of names) slow.observe(name, name === 'u0' ? 1 : 10, 250, now)
+    for (const name of names) detector.observe(name, name === 'u0' ? 1 : 10, 250, now)
   }
-  const slowFactor = slow.getSlowFactor(names[0]!, 3_000)
+  const slowFactor = detector.getSlowFactor(names[0]!, 3_000)
   t.ok(slowFactor > 8 && slowFactor < 12, `factor ${slowFactor}`)
-  t.equal(slow.getSlowFactor(names[1]!, 3_000), 1)
-  const warm = candidate(0, { cachedTokens: 2_000, slowFactor })
-  t.match(placeCall.placeCall(homeFirst, input([warm, candidate(1)])), { upstream: 'u1', reason: { type: 'spill' } })
-  t.ok(slow.getSlowFactor(names[0]!, 63_000) < 1.3, 'fades, so that it is tried again')
+  t.equal(detector.getSlowFactor(names[1]!, 3_000), 1)
+  const cached = createCandidate(0, { cachedTokens: 2_000, slowFactor })
+  t.match(placeCall.placeCall(homeFirst, createInput([cached, createCandidate(1)])), { upstream: 'u1', reason: { type: 'spill' } })
+  t.ok(detector.getSlowFactor(names[0]!, 63_000) < 1.3, 'fades, so that it is tried again')
 })
 
 tap.test('own calls are counted now and at the time of a report', async (t) => {
-  const calls = ownCalls.createInFlightHistory(1_000)
+  const calls = inFlightHistory.createInFlightHistory(1_000)
   const upstream = 'u0' as types.UpstreamId
   for (let now = 0; now < 10_000; now += 10) {
     calls.begin(upstream, now)
--- a/packages/decide/place-call/src/place-call.ts
+++ b/packages/decide/place-call/src/place-call.ts
@@ -1,13 +1,13 @@
 /** Places a call on one of the upstreams that may take it. */
 import * as errors from '@eelgrasswind/errors'
 import type * as candidates from './candidate.js'
-import * as price from './price.js'
+import * as costs from './estimate-cost.js'
 
 /** Time to come back while no upstream may take the call. */
 const noUpstreamRetryMs = 1_000
 
 export function placeCall (rule: candidates.PlaceRule, input: candidates.PlaceInput): candidates.Placement {
-  const usable = usableOf(input.candidates)
+  const usable = selectUsable(input.candidates)
   const first = usable[0]
   if (first === undefined) {
     const reason = input.candidates.length === 0 ? 'noUpstream' : 'allLeaving'
@@ -16,39 +16,39 @@
   switch (rule.type) {
     case 'roundRobin': {
       const chosen = usable[input.turn % usable.length] ?? first
-      return placed(chosen, { type: 'turn' }, [chosen])
+      return createPlacement(chosen, { type: 'turn' }, [chosen])
     }
-    case 'leastLoaded': return placed(leastOf(usable, reportedLoad), { type: 'leastLoaded' }, usable)
+    case 'leastLoaded': return createPlacement(findCheapest(usable, computeReportedLoad), { type: 'leastLoaded' }, usable)
     case 'twoChoices': {
-      const two = drawTwo(usable, input.random)
-      return placed(leastOf(two, believedCost), { type: 'betterOfTwo' }, two)
+      const two = sampleTwo(usable, input.random)
+      return createPlacement(findCheapest(two, estimateRelativeCost), { type: 'betterOfTwo' }, two)
     }
-    case 'homeFirst': return placeByPrice(rule, input, usable)
+    case 'homeFirst': return placeByCost(rule, input, usable)
     default: return errors.unreachable(rule)
   }
 }
 
 /** Live upstreams; suspect ones only when there is no live one; leaving ones never. */
-function usableOf (all: readonly candidates.Candidate[]): readonly candidates.Candidate[] {
+function selectUsable (all: readonly candidates.Candidate[]): readonly candidates.Candidate[] {
   const live = all.filter((candidate) => candidate.state === 'live')
   if (live.length > 0) return live
   return all.filter((candidate) => candidate.state === 'suspect')
 }
 
-function reportedLoad (candidate: candidates.Candidate): number {
+function computeReportedLoad (candidate: candidates.Candidate): number {
   const reported = candidate.reported
   return reported === undefined ? 0 : (reported.running + reported.waiting) / candidate.slots
 }
 
-function believedCost (candidate: candidates.Candidate): number {
-  return candidate.slowFactor * (price.believedLoad(candidate) + 1) / candidate.slots
+function estimateRelativeCost (candidate: candidates.Candidate): number {
+  return candidate.slowFactor * (costs.estimateLoad(candidate) + 1) / candidate.slots
 }
 
-function leastOf (all: readonly candidates.Candidate[], cost: (candidate: candidates.Candidate) => number): candidates.Candidate {
+function findCheapest (all: readonly candidates.Candidate[], cost: (candidate: candidates.Candidate) => number): candidates.Candidate {
   return all.reduce((best, candidate) => cost(candidate) < cost(best) ? candidate : best)
 }
 
-function drawTwo (all: readonly candidates.Candidate[], random: () => number): readonly candidates.Candidate[] {
+function sampleTwo (all: readonly candidates.Candidate[], random: () => number): readonly candidates.Candidate[] {
   if (all.length <= 2) return all
   const first = Math.floor(random() * all.length)
   const step = 1 + Math.floor(random() * (all.length - 1))
@@ -56,41 +56,41 @@
 }
 
 /** Compares the program's own engine with two others drawn at random, so that a herd never forms. */
-function placeByPrice (
+function placeByCost (
   rule: Extract<candidates.PlaceRule, { type: 'homeFirst' }>,
   input: candidates.PlaceInput,
   usable: readonly candidates.Candidate[]
 ): candidates.Placement {
-  const own = ownOf(input, usable)
-  const weighed = price.priceAll(rule.costs, input, own === undefined ? drawTwo(usable, input.random) : withOthers(own, usable, input.random))
-  const best = weighed.reduce((a, b) => b.costMs < a.costMs ? b : a)
-  const stay = weighed.find((option) => option.candidate === own)
-  if (stay === undefined) return placedAt(best, { type: 'homeUnavailable' }, weighed)
-  const savedMs = stay.costMs - best.costMs
+  const affinityCandidate = findAffinityCandidate(input, usable)
+  const options = costs.estimateCosts(rule.costs, input, affinityCandidate === undefined ? sampleTwo(usable, input.random) : addAlternatives(affinityCandidate, usable, input.random))
+  const best = options.reduce((a, b) => b.costMs < a.costMs ? b : a)
+  const affinityOption = options.find((option) => option.candidate === affinityCandidate)
+  if (affinityOption === undefined) return createCostedPlacement(best, { type: 'homeUnavailable' }, options)
+  const savedMs = affinityOption.costMs - best.costMs
   // Before its first call a program has no prefix to leave behind.
   const marginMs = input.lastUpstream === undefined ? 0 : rule.spillMarginMs
-  if (savedMs <= marginMs) return placedAt(stay, stayReason(input, stay), weighed)
+  if (savedMs <= marginMs) return createCostedPlacement(affinityOption, describeAffinity(input, affinityOption), options)
   const prefix = best.importFrom === undefined ? 'recompute' : 'import'
-  return placedAt(best, { type: 'spill', savedMs, prefix }, weighed)
+  return createCostedPlacement(best, { type: 'spill', savedMs, prefix }, options)
 }
 
 /** The engine that the program sticks to: where its last call ran, or else the one beside its home. */
-function ownOf (input: candidates.PlaceInput, usable: readonly candidates.Candidate[]): candidates.Candidate | undefined {
+function findAffinityCandidate (input: candidates.PlaceInput, usable: readonly candidates.Candidate[]): candidates.Candidate | undefined {
   const last = usable.find((candidate) => candidate.upstream === input.lastUpstream)
   return last ?? usable.find((candidate) => candidate.host === input.home)
 }
 
-function withOthers (own: candidates.Candidate, usable: readonly candidates.Candidate[], random: () => number): readonly candidates.Candidate[] {
-  const others = usable.filter((candidate) => candidate !== own)
-  return [own, ...drawTwo(others, random)]
+function addAlternatives (affinityCandidate: candidates.Candidate, usable: readonly candidates.Candidate[], random: () => number): readonly candidates.Candidate[] {
+  const others = usable.filter((candidate) => candidate !== affinityCandidate)
+  return [affinityCandidate, ...sampleTwo(others, random)]
 }
 
-function stayReason (input: candidates.PlaceInput, stay: price.Priced): candidates.PlaceReason {
-  const { upstream, cachedTokens } = stay.candidate
+function describeAffinity (input: candidates.PlaceInput, affinityOption: costs.CostedCandidate): candidates.PlaceReason {
+  const { upstream, cachedTokens } = affinityOption.candidate
   return upstream === input.lastUpstream ? { type: 'prefix', cachedTokens } : { type: 'home' }
 }
 
-function placed (chosen: candidates.Candidate, reason: candidates.PlaceReason, considered: readonly candidates.Candidate[]): candidates.Placement {
+function createPlacement (chosen: candidates.Candidate, reason: candidates.PlaceReason, considered: readonly candidates.Candidate[]): candidates.Placement {
   return {
     type: 'placed',
     upstream: chosen.upstream,
@@ -99,22 +99,22 @@
     reason,
     considered: considered.map((candidate) => ({
       upstream: candidate.upstream,
-      load: price.believedLoad(candidate),
+      load: costs.estimateLoad(candidate),
       costMs: undefined
     }))
   }
 }
 
-function placedAt (chosen: price.Priced, reason: candidates.PlaceReason, weighed: readonly price.Priced[]): candidates.Placement {
+function createCostedPlacement (chosen: costs.CostedCandidate, reason: candidates.PlaceReason, options: readonly costs.CostedCandidate[]): candidates.Placement {
   return {
     type: 'placed',
     upstream: chosen.candidate.upstream,
     host: chosen.candidate.host,
     importFrom: chosen.importFrom,
     reason,
-    considered: weighed.map((option) => ({
+    considered: options.map((option) => ({
       upstream: option.candidate.upstream,
-      load: price.believedLoad(option.candidate),
+      load: costs.estimateLoad(option.candidate),
       costMs: option.costMs
     }))
   }
--- a/packages/decide/place-call/src/slow-upstreams.ts
+++ b/packages/decide/place-call/src/slow-upstreams.ts
@@ -4,7 +4,7 @@
  */
 import type * as types from '@eelgrasswind/types'
 
-export interface SlowSettings {
+export interface SlowUpstreamSettings {
   /** Weight of the newest observation, 0 to 1. */
   readonly newestShare: number
   /** Factors below this count as 1: batches differ in size. */
@@ -13,7 +13,7 @@
   readonly halfLifeMs: number
 }
 
-export const defaultSlowSettings: SlowSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
+export const defaultSlowUpstreamSettings: SlowUpstreamSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
 
 export interface SlowUpstreamDetector {
   /** Tokens that came on one stream in a time, both since the last observation of it; no token counts as a part of one. */
@@ -23,42 +23,42 @@
   forget: (upstream: types.UpstreamId) => void
 }
 
-interface Seen {
+interface Observation {
   msPerToken: number
   at: number
 }
 
-export function createSlowUpstreamDetector (settings: SlowSettings = defaultSlowSettings): SlowUpstreamDetector {
-  const seen = new Map<types.UpstreamId, Seen>()
+export function createSlowUpstreamDetector (settings: SlowUpstreamSettings = defaultSlowUpstreamSettings): SlowUpstreamDetector {
+  const observations = new Map<types.UpstreamId, Observation>()
 
   function observe (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number): void {
     const msPerToken = elapsedMs / Math.max(1, tokens)
-    const known = seen.get(upstream)
-    if (known === undefined) {
-      seen.set(upstream, { msPerToken, at: now })
+    const observed = observations.get(upstream)
+    if (observed === undefined) {
+      observations.set(upstream, { msPerToken, at: now })
       return
     }
-    known.msPerToken += settings.newestShare * (msPerToken - known.msPerToken)
-    known.at = now
+    observed.msPerToken += settings.newestShare * (msPerToken - observed.msPerToken)
+    observed.at = now
   }
 
-  function factor (upstream: types.UpstreamId, now: number): number {
-    const own = seen.get(upstream)
-    const usual = usualOf(upstream)
-    if (own === undefined || usual === undefined) return 1
-    const raw = own.msPerToken / usual
-    if (raw < settings.toleratedFactor) return 1
+  function getSlowFactor (upstream: types.UpstreamId, now: number): number {
+    const observed = observations.get(upstream)
+    const typicalMsPerToken = computeMedianOfOthers(upstream)
+    if (observed === undefined || typicalMsPerToken === undefined) return 1
+    const rawFactor = observed.msPerToken / typicalMsPerToken
+    if (rawFactor < settings.toleratedFactor) return 1
     // Without new observations it fades, so that an upstream that has recovered is tried again.
-    const fading = 0.5 ** (Math.max(0, now - own.at) / settings.halfLifeMs)
-    return 1 + (raw - 1) * fading
+    const decay = 0.5 ** (Math.max(0, now - observed.at) / settings.halfLifeMs)
+    return 1 + (rawFactor - 1) * decay
   }
 
   /** Median of the others. */
-  function usualOf (upstream: types.UpstreamId): number | undefined {
-    const others = [...seen].filter(([other]) => other !== upstream).map(([, { msPerToken }]) => msPerToken)
+  function computeMedianOfOthers (upstream: types.UpstreamId): number | undefined {
+    const others = [...observations].filter(([other]) => other !== upstream).map(([, { msPerToken }]) => msPerToken)
     others.sort((a, b) => a - b)
     return others[Math.floor(others.length / 2)]
   }
 
-  return { observe, getSlowFactor: factor, forget: (upstream) => { seen.delete(upstream) } }
+  return { observe, getSlowFactor, forget: (upstream) => { observations.delete(upstream) } }
 }
