--- a/packages/decide/order-queue/src/heap.ts
+++ b/packages/decide/order-queue/src/heap.ts
@@ -6,7 +6,7 @@
   /** Order of arrival, which breaks ties. */
   readonly order: number
   readonly item: T
-  dropped: boolean
+  isDropped: boolean
 }
 
 /** Smallest key first. */
@@ -17,7 +17,7 @@
     let at = this.#entries.push(entry) - 1
     while (at > 0) {
       const parent = (at - 1) >> 1
-      if (!this.#before(at, parent)) return
+      if (!this.#isBefore(at, parent)) return
       this.#swap(at, parent)
       at = parent
     }
@@ -25,13 +25,13 @@
 
   /** The first entry that has not been dropped. */
   peek (): HeapEntry<T> | undefined {
-    while (this.#entries[0]?.dropped === true) this.#removeTop()
+    while (this.#entries[0]?.isDropped === true) this.#removeTop()
     return this.#entries[0]
   }
 
   /** Forgets dropped entries, so that they do not pile up behind one that never reaches the top. */
   compact (): void {
-    const kept = this.#entries.filter((entry) => !entry.dropped)
+    const kept = this.#entries.filter((entry) => !entry.isDropped)
     this.#entries.length = 0
     for (const entry of kept) this.push(entry)
   }
@@ -45,31 +45,31 @@
     const last = this.#entries.pop()
     if (last === undefined || this.#entries.length === 0) return
     this.#entries[0] = last
-    this.#sink()
+    this.#siftDown()
   }
 
-  #sink (): void {
+  #siftDown (): void {
     let at = 0
     for (;;) {
       const left = 2 * at + 1
       if (left >= this.#entries.length) return
       const right = left + 1
-      const child = right < this.#entries.length && this.#before(right, left) ? right : left
-      if (!this.#before(child, at)) return
+      const child = right < this.#entries.length && this.#isBefore(right, left) ? right : left
+      if (!this.#isBefore(child, at)) return
       this.#swap(at, child)
       at = child
     }
   }
 
-  #before (a: number, b: number): boolean {
+  #isBefore (a: number, b: number): boolean {
     const first = this.#entries[a]!
     const second = this.#entries[b]!
     return first.key < second.key || (first.key === second.key && first.order < second.order)
   }
 
   #swap (a: number, b: number): void {
-    const held = this.#entries[a]!
+    const swapped = this.#entries[a]!
     this.#entries[a] = this.#entries[b]!
-    this.#entries[b] = held
+    this.#entries[b] = swapped
   }
 }
--- a/packages/decide/order-queue/src/learn-remaining.ts
+++ b/packages/decide/order-queue/src/learn-remaining.ts
@@ -59,25 +59,25 @@
 }
 
 /** Turn counts up to this one have a mean of their own; above it they share one for each doubling. */
-const exactTurns = 16
+const maxExactTurns = 16
 
 export function createRemainingEstimator (settings: RemainingSettings = defaultRemainingSettings): RemainingEstimator {
   const kinds = new Map<types.KindId, Mean[]>()
 
   function observe (kind: types.KindId, turns: readonly TurnWork[]): void {
-    const means = meansOf(kind)
-    const rest = { calls: 0, tokens: 0, runMs: 0, ms: 0 }
-    for (let done = turns.length - 1; done >= 0; done -= 1) {
-      const turn = turns[done]!
-      rest.calls += 1
-      rest.tokens += turn.tokens
-      rest.runMs += turn.runMs
-      rest.ms += turn.ms
-      learn(means, bucketOf(done), rest)
+    const means = getOrCreateMeans(kind)
+    const remaining = { calls: 0, tokens: 0, runMs: 0, ms: 0 }
+    for (let turnsDone = turns.length - 1; turnsDone >= 0; turnsDone -= 1) {
+      const turn = turns[turnsDone]!
+      remaining.calls += 1
+      remaining.tokens += turn.tokens
+      remaining.runMs += turn.runMs
+      remaining.ms += turn.ms
+      updateMean(means, computeBucket(turnsDone), remaining)
     }
   }
 
-  function meansOf (kind: types.KindId): Mean[] {
+  function getOrCreateMeans (kind: types.KindId): Mean[] {
     const known = kinds.get(kind)
     if (known !== undefined) return known
     const created: Mean[] = []
@@ -85,22 +85,22 @@
     return created
   }
 
-  function learn (means: Mean[], bucket: number, rest: RemainingPrior): void {
+  function updateMean (means: Mean[], bucket: number, remaining: RemainingPrior): void {
     const mean = means[bucket] ?? { calls: 0, tokens: 0, runMs: 0, ms: 0, msDeviation: 0, samples: 0 }
     means[bucket] = mean
     mean.samples = Math.min(mean.samples + 1, 1 / settings.newestShare)
-    const share = 1 / mean.samples
-    const off = Math.abs(rest.ms - mean.ms)
-    mean.msDeviation += mean.samples === 1 ? rest.ms / 2 : share * (off - mean.msDeviation)
-    mean.calls += share * (rest.calls - mean.calls)
-    mean.tokens += share * (rest.tokens - mean.tokens)
-    mean.runMs += share * (rest.runMs - mean.runMs)
-    mean.ms += share * (rest.ms - mean.ms)
+    const weight = 1 / mean.samples
+    const deviation = Math.abs(remaining.ms - mean.ms)
+    mean.msDeviation += mean.samples === 1 ? remaining.ms / 2 : weight * (deviation - mean.msDeviation)
+    mean.calls += weight * (remaining.calls - mean.calls)
+    mean.tokens += weight * (remaining.tokens - mean.tokens)
+    mean.runMs += weight * (remaining.runMs - mean.runMs)
+    mean.ms += weight * (remaining.ms - mean.ms)
   }
 
-  function expect (kind: types.KindId, turns: number): RemainingWork {
+  function estimate (kind: types.KindId, turns: number): RemainingWork {
     const means = kinds.get(kind) ?? []
-    for (let bucket = bucketOf(turns); bucket >= 0; bucket -= 1) {
+    for (let bucket = computeBucket(turns); bucket >= 0; bucket -= 1) {
       const mean = means[bucket]
       // A program beyond all that were seen is expected to go on like the longest of them.
       if (mean !== undefined) return { ...mean }
@@ -108,10 +108,10 @@
     return { ...settings.prior, msDeviation: settings.prior.ms / 2, samples: 0 }
   }
 
-  return { observe, estimate: expect }
+  return { observe, estimate }
 }
 
-function bucketOf (turns: number): number {
-  if (turns <= exactTurns) return turns
-  return exactTurns + Math.ceil(Math.log2(turns / exactTurns))
+function computeBucket (turns: number): number {
+  if (turns <= maxExactTurns) return turns
+  return maxExactTurns + Math.ceil(Math.log2(turns / maxExactTurns))
 }
--- a/packages/decide/order-queue/src/order-queue.test.ts
+++ b/packages/decide/order-queue/src/order-queue.test.ts
@@ -7,7 +7,7 @@
 
 const kind = 'quote' as types.KindId
 
-function item (value: string, over: Partial<orderRule.WaitingCall> = {}): orderQueue.WaitingItem<string> {
+function createItem (value: string, overrides: Partial<orderRule.WaitingCall> = {}): orderQueue.WaitingItem<string> {
   return {
     program: value as types.ProgramId,
     kind,
@@ -17,7 +17,7 @@
     attainedTokens: 0,
     expectedRemainingMs: 1_000,
     value,
-    ...over
+    ...overrides
   }
 }
 
@@ -31,9 +31,9 @@
 
 tap.test('each rule orders by its own key', async (t) => {
   const items = [
-    item('a', { enqueuedAt: 1, deadline: 90_000, attainedTokens: 30 }),
-    item('b', { enqueuedAt: 2, deadline: 70_000, attainedTokens: 20 }),
-    item('c', { enqueuedAt: 3, deadline: 80_000, attainedTokens: 10, expectedRemainingMs: 50_000 })
+    createItem('a', { enqueuedAt: 1, deadline: 90_000, attainedTokens: 30 }),
+    createItem('b', { enqueuedAt: 2, deadline: 70_000, attainedTokens: 20 }),
+    createItem('c', { enqueuedAt: 3, deadline: 80_000, attainedTokens: 10, expectedRemainingMs: 50_000 })
   ]
   const orders: Array<[orderRule.OrderRule, string[]]> = [
     [{ type: 'fifo' }, ['a', 'b', 'c']],
@@ -43,17 +43,17 @@
   ]
   for (const [rule, order] of orders) {
     const queue = orderQueue.createOrderQueue<string>(rule)
-    for (const one of items) queue.push(one)
+    for (const waitingItem of items) queue.push(waitingItem)
     t.same(drain(queue, 10), order, rule.type)
   }
 })
 
 tap.test('weight counts as less slack, and late programs come last', async (t) => {
   const queue = orderQueue.createOrderQueue<string>({ type: 'weightedSlack', weightMs: 5_000, lateLast: true, starvationMs })
-  queue.push(item('light', { deadline: 40_000 }))
-  queue.push(item('heavy', { deadline: 48_000, weight: 4 }))
-  queue.push(item('late', { deadline: 500 }))
-  queue.push(item('later', { deadline: 500, weight: 2 }))
+  queue.push(createItem('light', { deadline: 40_000 }))
+  queue.push(createItem('heavy', { deadline: 48_000, weight: 4 }))
+  queue.push(createItem('late', { deadline: 500 }))
+  queue.push(createItem('later', { deadline: 500, weight: 2 }))
   const first = queue.pop(100)
   t.match(first, { item: { value: 'heavy' }, reason: { type: 'leastSlack', slackMs: 46_900, weight: 4 } })
   t.equal(queue.pop(100)?.item.value, 'light')
@@ -63,8 +63,8 @@
 
 tap.test('without lateLast a late program keeps its place', async (t) => {
   const queue = orderQueue.createOrderQueue<string>({ type: 'weightedSlack', weightMs: 0, lateLast: false, starvationMs })
-  queue.push(item('in time', { deadline: 40_000 }))
-  queue.push(item('late', { deadline: 500 }))
+  queue.push(createItem('in time', { deadline: 40_000 }))
+  queue.push(createItem('late', { deadline: 500 }))
   t.match(queue.pop(100), { item: { value: 'late' }, reason: { type: 'leastSlack', slackMs: -600 } })
 })
 
@@ -82,7 +82,7 @@
   )
   fc.assert(fc.property(rule, fc.array(call, { minLength: 1, maxLength: 40 }), (chosen, calls) => {
     const queue = orderQueue.createOrderQueue<string>(chosen)
-    calls.forEach((over, at) => queue.push(item(String(at), over)))
+    calls.forEach((over, at) => queue.push(createItem(String(at), over)))
     const now = 110_000
     const taken = drain(queue, now).map((value) => now - calls[Number(value)]!.enqueuedAt)
     const starving = taken.filter((waited) => waited >= starvationMs)
@@ -92,26 +92,26 @@
 })
 
 tap.test('every pushed call comes out once, unless removed', async (t) => {
-  const step = fc.oneof(
+  const actions = fc.oneof(
     fc.record({ type: fc.constant('push' as const), deadline: fc.integer({ min: 0, max: 50_000 }) }),
     fc.record({ type: fc.constant('pop' as const) }),
     fc.record({ type: fc.constant('remove' as const), pick: fc.nat(500) })
   )
-  fc.assert(fc.property(fc.array(step, { maxLength: 400 }), (steps) => {
+  fc.assert(fc.property(fc.array(actions, { maxLength: 400 }), (steps) => {
     const queue = orderQueue.createOrderQueue<string>({ type: 'weightedSlack', weightMs: 0, lateLast: true, starvationMs })
     const waiting = new Set<orderQueue.WaitingItem<string>>()
     let now = 0
-    for (const one of steps) {
+    for (const action of steps) {
       now += 100
-      if (one.type === 'push') {
-        const pushed = item(String(now), { deadline: one.deadline, enqueuedAt: now })
+      if (action.type === 'push') {
+        const pushed = createItem(String(now), { deadline: action.deadline, enqueuedAt: now })
         queue.push(pushed)
         waiting.add(pushed)
-      } else if (one.type === 'pop') {
+      } else if (action.type === 'pop') {
         const taken = queue.pop(now)
         if (taken === undefined ? waiting.size > 0 : !waiting.delete(taken.item)) return false
       } else {
-        const picked = [...waiting][one.pick % Math.max(1, waiting.size)]
+        const picked = [...waiting][action.pick % Math.max(1, waiting.size)]
         if (picked !== undefined && !(queue.remove(picked) && !queue.remove(picked) && waiting.delete(picked))) return false
       }
       if (queue.size !== waiting.size) return false
--- a/packages/decide/order-queue/src/order-queue.ts
+++ b/packages/decide/order-queue/src/order-queue.ts
@@ -28,53 +28,53 @@
 }
 
 /** Where one item stands: by rule, and by age. */
-interface Place<T> {
+interface QueueEntry<T> {
   byRule: heaps.HeapEntry<WaitingItem<T>>
   readonly byAge: heaps.HeapEntry<WaitingItem<T>>
 }
 
 /** Dropped entries that a heap may keep beside the living ones. */
-const droppedAllowance = 64
+const maxDroppedEntries = 64
 
 export function createOrderQueue<T> (rule: orderRule.OrderRule): OrderQueue<T> {
-  const places = new Map<WaitingItem<T>, Place<T>>()
+  const entries = new Map<WaitingItem<T>, QueueEntry<T>>()
   const inTime = new heaps.Heap<WaitingItem<T>>()
   const late = new heaps.Heap<WaitingItem<T>>()
   const byAge = new heaps.Heap<WaitingItem<T>>()
   let order = 0
 
-  function entryOf (key: number, item: WaitingItem<T>): heaps.HeapEntry<WaitingItem<T>> {
+  function createHeapEntry (key: number, item: WaitingItem<T>): heaps.HeapEntry<WaitingItem<T>> {
     order += 1
-    return { key, order, item, dropped: false }
+    return { key, order, item, isDropped: false }
   }
 
   function push (item: WaitingItem<T>): void {
-    if (places.has(item)) throw new Error('the item is in the queue already')
-    const place = { byRule: entryOf(keyOf(rule, item), item), byAge: entryOf(item.enqueuedAt, item) }
-    places.set(item, place)
-    inTime.push(place.byRule)
-    byAge.push(place.byAge)
+    if (entries.has(item)) throw new Error('the item is in the queue already')
+    const queueEntry = { byRule: createHeapEntry(computeKey(rule, item), item), byAge: createHeapEntry(item.enqueuedAt, item) }
+    entries.set(item, queueEntry)
+    inTime.push(queueEntry.byRule)
+    byAge.push(queueEntry.byAge)
   }
 
   function remove (item: WaitingItem<T>): boolean {
-    const place = places.get(item)
-    if (place === undefined) return false
-    places.delete(item)
-    place.byRule.dropped = true
-    place.byAge.dropped = true
+    const queueEntry = entries.get(item)
+    if (queueEntry === undefined) return false
+    entries.delete(item)
+    queueEntry.byRule.isDropped = true
+    queueEntry.byAge.isDropped = true
     for (const heap of [inTime, late, byAge]) {
-      if (heap.length > 2 * places.size + droppedAllowance) heap.compact()
+      if (heap.length > 2 * entries.size + maxDroppedEntries) heap.compact()
     }
     return true
   }
 
   function pop (now: number): TakenItem<T> | undefined {
-    const taken = starving(now) ?? next(now)
+    const taken = peekStarving(now) ?? peekByRule(now)
     if (taken !== undefined) remove(taken.item)
     return taken
   }
 
-  function starving (now: number): TakenItem<T> | undefined {
+  function peekStarving (now: number): TakenItem<T> | undefined {
     if (rule.type === 'fifo') return undefined
     const item = byAge.peek()?.item
     if (item === undefined) return undefined
@@ -83,37 +83,37 @@
     return { item, reason: { type: 'starving', waitedMs, boundMs: rule.starvationMs } }
   }
 
-  function next (now: number): TakenItem<T> | undefined {
-    if (rule.type === 'weightedSlack' && rule.lateLast) setLateAside(now)
+  function peekByRule (now: number): TakenItem<T> | undefined {
+    if (rule.type === 'weightedSlack' && rule.lateLast) moveLateCalls(now)
     const item = inTime.peek()?.item ?? late.peek()?.item
     if (item === undefined) return undefined
-    return { item, reason: reasonOf(rule, item, now) }
+    return { item, reason: describeReason(rule, item, now) }
   }
 
   /** Moves calls of programs that can no longer finish in time behind all others. */
-  function setLateAside (now: number): void {
+  function moveLateCalls (now: number): void {
     for (let entry = inTime.peek(); entry !== undefined; entry = inTime.peek()) {
-      if (orderRule.slackMs(entry.item, now) >= 0) return
+      if (orderRule.computeSlackMs(entry.item, now) >= 0) return
       const item = entry.item
-      entry.dropped = true
-      const moved = entryOf(lateKeyOf(item), item)
-      places.get(item)!.byRule = moved
-      late.push(moved)
+      entry.isDropped = true
+      const lateEntry = createHeapEntry(computeLateKey(item), item)
+      entries.get(item)!.byRule = lateEntry
+      late.push(lateEntry)
     }
   }
 
   return {
     rule,
-    get size () { return places.size },
+    get size () { return entries.size },
     push,
     pop,
     remove,
-    items: () => places.keys()
+    items: () => entries.keys()
   }
 }
 
 /** Order among calls in time: the smallest goes first. */
-function keyOf (rule: orderRule.OrderRule, call: orderRule.WaitingCall): number {
+function computeKey (rule: orderRule.OrderRule, call: orderRule.WaitingCall): number {
   switch (rule.type) {
     case 'fifo': return call.enqueuedAt
     case 'earliestDeadline': return call.deadline
@@ -124,17 +124,17 @@
 }
 
 /** Order among calls of late programs: least remaining time for its weight first. */
-function lateKeyOf (call: orderRule.WaitingCall): number {
+function computeLateKey (call: orderRule.WaitingCall): number {
   return call.expectedRemainingMs / call.weight
 }
 
-function reasonOf (rule: orderRule.OrderRule, call: orderRule.WaitingCall, now: number): orderRule.OrderReason {
+function describeReason (rule: orderRule.OrderRule, call: orderRule.WaitingCall, now: number): orderRule.OrderReason {
   switch (rule.type) {
     case 'fifo': return { type: 'oldest', waitedMs: now - call.enqueuedAt }
     case 'earliestDeadline': return { type: 'earliestDeadline', leftMs: call.deadline - now }
     case 'leastAttained': return { type: 'leastAttained', attainedTokens: call.attainedTokens }
     case 'weightedSlack': {
-      const slackMs = orderRule.slackMs(call, now)
+      const slackMs = orderRule.computeSlackMs(call, now)
       return { type: rule.lateLast && slackMs < 0 ? 'late' : 'leastSlack', slackMs, weight: call.weight }
     }
     default: return errors.unreachable(rule)
--- a/packages/decide/order-queue/src/order-rule.ts
+++ b/packages/decide/order-queue/src/order-rule.ts
@@ -49,6 +49,6 @@
 export const defaultOrderRule: OrderRule = { type: 'weightedSlack', weightMs: 20_000, lateLast: false, starvationMs: 180_000 }
 
 /** Time by which a program may still wait and finish in time, in milliseconds; negative when it is late already. */
-export function slackMs (call: WaitingCall, now: number): number {
+export function computeSlackMs (call: WaitingCall, now: number): number {
   return call.deadline - now - call.expectedRemainingMs
 }
