--- a/packages/decide/decide-retry/src/decide-retry.test.ts
+++ b/packages/decide/decide-retry/src/decide-retry.test.ts
@@ -3,7 +3,7 @@
 import * as errors from '@eelgrasswind/errors'
 import * as decideRetry from './decide-retry.js'
 
-const tags: Record<errors.FailureTag, object> = {
+const fieldsByTag: Record<errors.FailureTag, object> = {
   invalidRequest: { field: 'f', expected: 'e' },
   bodyTooLarge: { limitBytes: 1 },
   unauthorized: {},
@@ -34,15 +34,15 @@
   internal: {}
 }
 
-const allTags = Object.keys(tags) as errors.FailureTag[]
+const allTags = Object.keys(fieldsByTag) as errors.FailureTag[]
 
-function failureOf (tag: errors.FailureTag, verdict: errors.Failure['verdict']): errors.Failure {
-  return { tag, verdict, message: 'm', ...tags[tag] } as errors.Failure
+function createFailure (tag: errors.FailureTag, verdict: errors.Failure['verdict']): errors.Failure {
+  return { tag, verdict, message: 'm', ...fieldsByTag[tag] } as errors.Failure
 }
 
 const inputs: fc.Arbitrary<decideRetry.RetryInput> = fc.record({
   failure: fc.tuple(fc.constantFrom(...allTags), fc.constantFrom('notRun' as const, 'mayHaveRun' as const, 'ran' as const))
-    .map(([tag, verdict]) => failureOf(tag, verdict)),
+    .map(([tag, verdict]) => createFailure(tag, verdict)),
   idempotent: fc.boolean(),
   attempt: fc.integer({ min: 1, max: 6 }),
   programBudget: fc.record({ retriesLeft: fc.constantFrom(0, 0.9, 1, 5) }),
@@ -52,9 +52,9 @@
   random: fc.double({ min: 0, max: 0.999, noNaN: true }).map((value) => () => value)
 })
 
-function usual (over: Partial<decideRetry.RetryInput>): decideRetry.RetryInput {
+function createInput (overrides: Partial<decideRetry.RetryInput>): decideRetry.RetryInput {
   return {
-    failure: failureOf('upstreamUnavailable', 'notRun'),
+    failure: createFailure('upstreamUnavailable', 'notRun'),
     idempotent: true,
     attempt: 1,
     programBudget: { retriesLeft: 2 },
@@ -62,7 +62,7 @@
     now: 1_000,
     deadline: 60_000,
     random: () => 0,
-    ...over
+    ...overrides
   }
 }
 
@@ -88,22 +88,22 @@
 })
 
 tap.test('only transient failures are retried', async (t) => {
-  const retried = allTags.filter((tag) => decideRetry.decideRetry(usual({ failure: failureOf(tag, 'notRun') })).type === 'retry')
+  const retried = allTags.filter((tag) => decideRetry.decideRetry(createInput({ failure: createFailure(tag, 'notRun') })).type === 'retry')
   t.same(retried.sort(), ['answerBroken', 'inProgress', 'logUnavailable', 'notHome', 'peerUnavailable', 'shuttingDown',
     'upstreamFailed', 'upstreamUnavailable', 'wrongIncarnation'])
-  const clientError = { ...failureOf('upstreamFailed', 'ran'), status: 404 } as errors.Failure
-  t.match(decideRetry.decideRetry(usual({ failure: clientError })), { type: 'giveUp', reason: 'permanent' })
+  const clientError = { ...createFailure('upstreamFailed', 'ran'), status: 404 } as errors.Failure
+  t.match(decideRetry.decideRetry(createInput({ failure: clientError })), { type: 'giveUp', reason: 'permanent' })
 })
 
 tap.test('gives the reason and waits longer each time', async (t) => {
-  t.same(decideRetry.decideRetry(usual({})), { type: 'retry', afterMs: 60, reason: 'transient' })
-  t.same(decideRetry.decideRetry(usual({ attempt: 3 })), { type: 'retry', afterMs: 210, reason: 'transient' })
+  t.same(decideRetry.decideRetry(createInput({})), { type: 'retry', afterMs: 60, reason: 'transient' })
+  t.same(decideRetry.decideRetry(createInput({ attempt: 3 })), { type: 'retry', afterMs: 210, reason: 'transient' })
   const reasons = [
-    usual({ idempotent: false, failure: failureOf('answerBroken', 'ran') }),
-    usual({ attempt: 4 }),
-    usual({ programBudget: { retriesLeft: 0.9 } }),
-    usual({ processBudget: { retriesLeft: 0 } }),
-    usual({ deadline: 1_020 })
+    createInput({ idempotent: false, failure: createFailure('answerBroken', 'ran') }),
+    createInput({ attempt: 4 }),
+    createInput({ programBudget: { retriesLeft: 0.9 } }),
+    createInput({ processBudget: { retriesLeft: 0 } }),
+    createInput({ deadline: 1_020 })
   ].map((input) => decideRetry.decideRetry(input).reason)
   t.same(reasons, ['mayRepeat', 'attemptsUsed', 'programBudgetUsed', 'processBudgetUsed', 'deadline'])
 })
--- a/packages/decide/decide-retry/src/decide-retry.ts
+++ b/packages/decide/decide-retry/src/decide-retry.ts
@@ -55,7 +55,7 @@
   if (input.attempt >= settings.maxAttempts) return giveUp('attemptsUsed')
   if (input.programBudget.retriesLeft < 1) return giveUp('programBudgetUsed')
   if (input.processBudget.retriesLeft < 1) return giveUp('processBudgetUsed')
-  const afterMs = waitMs(input, settings)
+  const afterMs = computeBackoffMs(input, settings)
   if (input.now + afterMs >= input.deadline) return giveUp('deadline')
   return { type: 'retry', afterMs, reason: 'transient' }
 }
@@ -65,10 +65,10 @@
 }
 
 /** Exponential backoff with jitter, but never before the time that the failure names. */
-function waitMs (input: RetryInput, settings: RetrySettings): number {
-  const longest = Math.min(settings.maxWaitMs, settings.firstWaitMs * 2 ** (input.attempt - 1))
-  const jittered = longest / 2 + input.random() * longest / 2
-  return Math.round((errors.retryAfterMs(input.failure) ?? 0) + jittered)
+function computeBackoffMs (input: RetryInput, settings: RetrySettings): number {
+  const maxBackoffMs = Math.min(settings.maxWaitMs, settings.firstWaitMs * 2 ** (input.attempt - 1))
+  const backoffMs = maxBackoffMs / 2 + input.random() * maxBackoffMs / 2
+  return Math.round((errors.retryAfterMs(input.failure) ?? 0) + backoffMs)
 }
 
 /** Whether another attempt, perhaps elsewhere, may end otherwise. */
