--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -42,7 +42,7 @@
 export const learntHoldRule: HoldRule = { type: 'learnt', fallbackMs: 10_000, minSamples: 20, maxMs: 600_000 }
 
 /** Waste of one token held for one second for a program that never returns, in tokens computed again. */
-const tokenSecondWaste = 1
+const wastePerTokenSecond = 1
 
 export function decideHold (rule: HoldRule, input: HoldInput): Hold {
   if (input.leftMs <= 0) return { holdMs: 0, reason: { type: 'deadlinePassed' } }
@@ -50,49 +50,49 @@
     case 'always': return { holdMs: input.leftMs, reason: { type: 'rule' } }
     case 'never': return { holdMs: 0, reason: { type: 'rule' } }
     case 'fixed': return { holdMs: Math.min(rule.holdMs, input.leftMs), reason: { type: 'rule' } }
-    case 'learnt': return learntHold(rule, input)
+    case 'learnt': return decideLearntHold(rule, input)
     default: return errors.unreachable(rule)
   }
 }
 
-function learntHold (rule: Extract<HoldRule, { type: 'learnt' }>, input: HoldInput): Hold {
+function decideLearntHold (rule: Extract<HoldRule, { type: 'learnt' }>, input: HoldInput): Hold {
   if (input.survivalMs === Infinity) return { holdMs: 0, reason: { type: 'cacheLargeEnough' } }
   const samples = input.pauses.samples
   if (samples < rule.minSamples) {
     return { holdMs: Math.min(rule.fallbackMs, input.leftMs), reason: { type: 'fewSamples', samples } }
   }
-  const longest = Math.min(rule.maxMs, input.leftMs)
-  let best = { holdMs: 0, waste: expectedWaste(0, input) }
+  const maxHoldMs = Math.min(rule.maxMs, input.leftMs)
+  let best = { holdMs: 0, waste: computeExpectedWaste(0, input) }
   for (const edge of input.pauses.edgesMs) {
-    if (edge > longest) break
-    const waste = expectedWaste(edge, input)
+    if (edge > maxHoldMs) break
+    const waste = computeExpectedWaste(edge, input)
     if (waste < best.waste) best = { holdMs: edge, waste }
   }
   return {
     holdMs: best.holdMs,
-    reason: { type: 'leastWaste', expectedWaste: best.waste * input.prefixTokens, returnShare: sumOf(input.pauses.returned) }
+    reason: { type: 'leastWaste', expectedWaste: best.waste * input.prefixTokens, returnShare: sum(input.pauses.returned) }
   }
 }
 
 /** Expected waste of a hold, for each token of the prefix. */
-function expectedWaste (holdMs: number, input: HoldInput): number {
+function computeExpectedWaste (holdMs: number, input: HoldInput): number {
   const { edgesMs, returned, gone } = input.pauses
   const survivesMs = Math.max(holdMs, input.survivalMs)
   // While a token is held, another one that would have survived as long is evicted in its place.
-  const crowdingWaste = sumOf(returned) * 1000 / input.survivalMs
+  const displacementWaste = sum(returned) * 1000 / input.survivalMs
   let waste = 0
   edgesMs.forEach((edge, at) => {
     const returnShare = returned[at] ?? 0
     const goneShare = gone[at] ?? 0
     const heldSeconds = Math.min(edge, holdMs) / 1000
-    const crowdedSeconds = Math.max(0, Math.min(edge, holdMs) - input.survivalMs) / 1000
-    waste += goneShare * heldSeconds * tokenSecondWaste
-    waste += (goneShare + returnShare) * crowdedSeconds * crowdingWaste
+    const displacingSeconds = Math.max(0, Math.min(edge, holdMs) - input.survivalMs) / 1000
+    waste += goneShare * heldSeconds * wastePerTokenSecond
+    waste += (goneShare + returnShare) * displacingSeconds * displacementWaste
     if (edge > survivesMs) waste += returnShare
   })
   return waste
 }
 
-function sumOf (shares: readonly number[]): number {
+function sum (shares: readonly number[]): number {
   return shares.reduce((sum, share) => sum + share, 0)
 }
--- a/packages/decide/retain-prefix/src/eviction-age.ts
+++ b/packages/decide/retain-prefix/src/eviction-age.ts
@@ -10,16 +10,16 @@
 /** Weight of the newest eviction. */
 const newestShare = 0.1
 /** Without evictions for so long, the cache counts as large enough. */
-const quietMs = 60_000
+const evictionIdleMs = 60_000
 
 export function createEvictionAgeTracker (): EvictionAgeTracker {
-  let mean = 0
-  let lastAt = -Infinity
+  let meanMs = 0
+  let lastEvictionAt = -Infinity
 
   function observe (ageMs: number, now: number): void {
-    mean = now - lastAt > quietMs ? ageMs : mean + newestShare * (ageMs - mean)
-    lastAt = now
+    meanMs = now - lastEvictionAt > evictionIdleMs ? ageMs : meanMs + newestShare * (ageMs - meanMs)
+    lastEvictionAt = now
   }
 
-  return { observe, getSurvivalMs: (now) => now - lastAt > quietMs ? Infinity : mean }
+  return { observe, getSurvivalMs: (now) => now - lastEvictionAt > evictionIdleMs ? Infinity : meanMs }
 }
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -25,7 +25,7 @@
 }
 
 /** Counts by bucket. */
-interface Seen {
+interface PauseCounts {
   returned: number[]
   gone: number[]
   samples: number
@@ -35,12 +35,12 @@
 export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, at) => 250 * 2 ** at)
 
 /** Sample count at which older pauses begin to fade. */
-const memorySamples = 400
+const maxSamples = 400
 
 export function createPauseLearner (): PauseLearner {
-  const kinds = new Map<types.KindId, Seen>()
+  const kinds = new Map<types.KindId, PauseCounts>()
 
-  function countsOf (kind: types.KindId): Seen {
+  function getOrCreateCounts (kind: types.KindId): PauseCounts {
     const known = kinds.get(kind)
     if (known !== undefined) return known
     const created = { returned: pauseEdgesMs.map(() => 0), gone: pauseEdgesMs.map(() => 0), samples: 0 }
@@ -49,31 +49,31 @@
   }
 
   function observe (kind: types.KindId, end: PauseEnd): void {
-    const seen = countsOf(kind)
-    if (seen.samples >= memorySamples) fade(seen)
-    seen.samples += 1
-    const counts = end.type === 'gone' ? seen.gone : seen.returned
+    const pauseCounts = getOrCreateCounts(kind)
+    if (pauseCounts.samples >= maxSamples) halveCounts(pauseCounts)
+    pauseCounts.samples += 1
+    const bucketCounts = end.type === 'gone' ? pauseCounts.gone : pauseCounts.returned
     const bucket = pauseEdgesMs.findIndex((edge) => end.afterMs <= edge)
-    const at = bucket < 0 ? pauseEdgesMs.length - 1 : bucket
-    counts[at] = counts[at]! + 1
+    const bucketIndex = bucket < 0 ? pauseEdgesMs.length - 1 : bucket
+    bucketCounts[bucketIndex] = bucketCounts[bucketIndex]! + 1
   }
 
-  function stats (kind: types.KindId): PauseStats {
-    const seen = countsOf(kind)
-    const share = seen.samples === 0 ? 0 : 1 / seen.samples
+  function getStats (kind: types.KindId): PauseStats {
+    const pauseCounts = getOrCreateCounts(kind)
+    const share = pauseCounts.samples === 0 ? 0 : 1 / pauseCounts.samples
     return {
-      samples: seen.samples,
+      samples: pauseCounts.samples,
       edgesMs: pauseEdgesMs,
-      returned: seen.returned.map((count) => count * share),
-      gone: seen.gone.map((count) => count * share)
+      returned: pauseCounts.returned.map((count) => count * share),
+      gone: pauseCounts.gone.map((count) => count * share)
     }
   }
 
-  return { observe, getStats: stats }
+  return { observe, getStats }
 }
 
-function fade (seen: Seen): void {
-  seen.returned = seen.returned.map((count) => count / 2)
-  seen.gone = seen.gone.map((count) => count / 2)
-  seen.samples /= 2
+function halveCounts (pauseCounts: PauseCounts): void {
+  pauseCounts.returned = pauseCounts.returned.map((count) => count / 2)
+  pauseCounts.gone = pauseCounts.gone.map((count) => count / 2)
+  pauseCounts.samples /= 2
 }
--- a/packages/decide/retain-prefix/src/retain-prefix.test.ts
+++ b/packages/decide/retain-prefix/src/retain-prefix.test.ts
@@ -7,11 +7,11 @@
 const kind = 'roster' as types.KindId
 const learnt: decideHold.HoldRule = { type: 'learnt', fallbackMs: 7_000, minSamples: 20, maxMs: 600_000 }
 
-function input (pauses: learnPauses.PauseStats, over: Partial<decideHold.HoldInput> = {}): decideHold.HoldInput {
-  return { prefixTokens: 1_000, pauses, leftMs: 100_000, survivalMs: 700, ...over }
+function createInput (pauses: learnPauses.PauseStats, overrides: Partial<decideHold.HoldInput> = {}): decideHold.HoldInput {
+  return { prefixTokens: 1_000, pauses, leftMs: 100_000, survivalMs: 700, ...overrides }
 }
 
-function statsOf (ends: readonly learnPauses.PauseEnd[]): learnPauses.PauseStats {
+function computeStats (ends: readonly learnPauses.PauseEnd[]): learnPauses.PauseStats {
   const learner = learnPauses.createPauseLearner()
   for (const end of ends) learner.observe(kind, end)
   return learner.getStats(kind)
@@ -22,29 +22,29 @@
 }
 
 tap.test('plain rules hold as they say, never past the deadline', async (t) => {
-  const stats = statsOf([])
-  t.equal(decideHold.decideHold({ type: 'always' }, input(stats)).holdMs, 100_000)
-  t.equal(decideHold.decideHold({ type: 'never' }, input(stats)).holdMs, 0)
-  t.equal(decideHold.decideHold({ type: 'fixed', holdMs: 5_000 }, input(stats)).holdMs, 5_000)
-  t.equal(decideHold.decideHold({ type: 'fixed', holdMs: 5_000 }, input(stats, { leftMs: 900 })).holdMs, 900)
-  t.match(decideHold.decideHold({ type: 'always' }, input(stats, { leftMs: -1 })), { holdMs: 0, reason: { type: 'deadlinePassed' } })
+  const stats = computeStats([])
+  t.equal(decideHold.decideHold({ type: 'always' }, createInput(stats)).holdMs, 100_000)
+  t.equal(decideHold.decideHold({ type: 'never' }, createInput(stats)).holdMs, 0)
+  t.equal(decideHold.decideHold({ type: 'fixed', holdMs: 5_000 }, createInput(stats)).holdMs, 5_000)
+  t.equal(decideHold.decideHold({ type: 'fixed', holdMs: 5_000 }, createInput(stats, { leftMs: 900 })).holdMs, 900)
+  t.match(decideHold.decideHold({ type: 'always' }, createInput(stats, { leftMs: -1 })), { holdMs: 0, reason: { type: 'deadlinePassed' } })
 })
 
 tap.test('learnt holds cover short pauses and release programs that go', async (t) => {
-  t.match(decideHold.decideHold(learnt, input(statsOf(repeat(5, { type: 'gone', afterMs: 300_000 })))), { holdMs: 7_000, reason: { type: 'fewSamples', samples: 5 } })
-  const short = statsOf([...repeat(50, { type: 'returned', afterMs: 900 }), ...repeat(2, { type: 'gone', afterMs: 300_000 })])
-  t.equal(decideHold.decideHold(learnt, input(short)).holdMs, 1_000)
-  const soonKnown = statsOf([...repeat(50, { type: 'returned', afterMs: 900 }), ...repeat(50, { type: 'gone', afterMs: 200 })])
-  t.equal(decideHold.decideHold(learnt, input(soonKnown)).holdMs, 1_000, 'a hold that ends with its program costs little')
-  const gone = statsOf([...repeat(2, { type: 'returned', afterMs: 60_000 }), ...repeat(50, { type: 'gone', afterMs: 300_000 })])
-  const released = decideHold.decideHold(learnt, input(gone))
+  t.match(decideHold.decideHold(learnt, createInput(computeStats(repeat(5, { type: 'gone', afterMs: 300_000 })))), { holdMs: 7_000, reason: { type: 'fewSamples', samples: 5 } })
+  const short = computeStats([...repeat(50, { type: 'returned', afterMs: 900 }), ...repeat(2, { type: 'gone', afterMs: 300_000 })])
+  t.equal(decideHold.decideHold(learnt, createInput(short)).holdMs, 1_000)
+  const goneEarly = computeStats([...repeat(50, { type: 'returned', afterMs: 900 }), ...repeat(50, { type: 'gone', afterMs: 200 })])
+  t.equal(decideHold.decideHold(learnt, createInput(goneEarly)).holdMs, 1_000, 'a hold that ends with its program costs little')
+  const gone = computeStats([...repeat(2, { type: 'returned', afterMs: 60_000 }), ...repeat(50, { type: 'gone', afterMs: 300_000 })])
+  const released = decideHold.decideHold(learnt, createInput(gone))
   t.match(released, { holdMs: 0, reason: { type: 'leastWaste' } })
   // Two of 52 pauses end by a return, which then computes 1,000 tokens again.
   t.ok(released.reason.type === 'leastWaste' && Math.abs(released.reason.expectedWaste - 1_000 * 2 / 52) < 1e-6)
 })
 
 tap.test('older pauses fade', async (t) => {
-  const stats = statsOf([...repeat(400, { type: 'gone', afterMs: 300_000 }), ...repeat(800, { type: 'returned', afterMs: 400 })])
+  const stats = computeStats([...repeat(400, { type: 'gone', afterMs: 300_000 }), ...repeat(800, { type: 'returned', afterMs: 400 })])
   const gone = stats.gone.reduce((a, b) => a + b, 0)
   const returned = stats.returned.reduce((a, b) => a + b, 0)
   t.ok(gone < 0.2, 'most of what was seen first has faded')
@@ -52,9 +52,9 @@
 })
 
 tap.test('nothing is held while unheld prefixes survive anyway', async (t) => {
-  const short = statsOf(repeat(50, { type: 'returned', afterMs: 900 }))
-  t.match(decideHold.decideHold(learnt, input(short, { survivalMs: Infinity })), { holdMs: 0, reason: { type: 'cacheLargeEnough' } })
-  t.equal(decideHold.decideHold(learnt, input(short, { survivalMs: 2_000 })).holdMs, 0)
+  const short = computeStats(repeat(50, { type: 'returned', afterMs: 900 }))
+  t.match(decideHold.decideHold(learnt, createInput(short, { survivalMs: Infinity })), { holdMs: 0, reason: { type: 'cacheLargeEnough' } })
+  t.equal(decideHold.decideHold(learnt, createInput(short, { survivalMs: 2_000 })).holdMs, 0)
 })
 
 tap.test('survival is learnt from evictions and forgotten when they cease', async (t) => {
