--- a/packages/decide/membership/src/member.ts
+++ b/packages/decide/membership/src/member.ts
@@ -14,51 +14,51 @@
   | 'gone'
 
 /** Earlier incarnations that are remembered, so that their late answers are told apart. */
-const rememberedIncarnations = 4
+const maxEarlierIncarnations = 4
 
 /** Facts about one host. Times are in milliseconds of the caller's clock. */
 export interface Member {
   entry: types.HostEntry
   /** State in the view now in force; undefined before the first batch that holds the host. */
-  shown: HostState | undefined
+  publishedState: HostState | undefined
   /** Since when the list has not named it; undefined while it does. */
   missingSince: number | undefined
   /** Whether the list that dropped it was doubted. */
-  missingDoubted: boolean
+  isMissingDoubted: boolean
   incarnation: types.Incarnation | undefined
-  earlier: types.Incarnation[]
+  earlierIncarnations: types.Incarnation[]
   /** When it was last heard to be leaving; undefined while it is not. */
   leavingAt: number | undefined
   /** Failures since the last answer. */
   failures: number
   /** When it became live again, within the flap window. */
-  returns: number[]
+  recoveredAt: number[]
   nextProbeAt: number
-  probePauseMs: number
+  probeBackoffMs: number
 }
 
 export function createMember (entry: types.HostEntry): Member {
   return {
     entry,
-    shown: undefined,
+    publishedState: undefined,
     missingSince: undefined,
-    missingDoubted: false,
+    isMissingDoubted: false,
     incarnation: undefined,
-    earlier: [],
+    earlierIncarnations: [],
     leavingAt: undefined,
     failures: 0,
-    returns: [],
+    recoveredAt: [],
     nextProbeAt: 0,
-    probePauseMs: 0
+    probeBackoffMs: 0
   }
 }
 
 /** Takes note of the incarnation that answered; false if the answer is from an earlier one and says nothing of today. */
-export function meetIncarnation (member: Member, incarnation: types.Incarnation): boolean {
+export function acceptIncarnation (member: Member, incarnation: types.Incarnation): boolean {
   if (member.incarnation === incarnation) return true
-  if (member.earlier.includes(incarnation)) return false
+  if (member.earlierIncarnations.includes(incarnation)) return false
   if (member.incarnation !== undefined) {
-    member.earlier = [member.incarnation, ...member.earlier].slice(0, rememberedIncarnations)
+    member.earlierIncarnations = [member.incarnation, ...member.earlierIncarnations].slice(0, maxEarlierIncarnations)
     member.leavingAt = undefined
   }
   member.incarnation = incarnation
@@ -68,8 +68,8 @@
 /** Whether the list has left it out for long enough. */
 function isGone (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.missingSince === undefined) return false
-  const trusted = member.missingDoubted && member.failures === 0
-  return now - member.missingSince >= (trusted ? settings.massLossMs : settings.missingMs)
+  const isReachable = member.isMissingDoubted && member.failures === 0
+  return now - member.missingSince >= (isReachable ? settings.massLossMs : settings.missingMs)
 }
 
 export function isLeaving (member: Member, settings: config.MembershipSettings, now: number): boolean {
@@ -78,34 +78,34 @@
 }
 
 /** Whether it may become live again without exceeding the bound on returns. */
-function mayReturn (member: Member, settings: config.MembershipSettings, now: number): boolean {
-  if (member.shown === undefined || member.shown === 'live') return true
-  member.returns = member.returns.filter((at) => now - at < settings.flapWindowMs)
-  return member.returns.length < settings.maxReturns
+function canRecover (member: Member, settings: config.MembershipSettings, now: number): boolean {
+  if (member.publishedState === undefined || member.publishedState === 'live') return true
+  member.recoveredAt = member.recoveredAt.filter((at) => now - at < settings.flapWindowMs)
+  return member.recoveredAt.length < settings.maxRecoveries
 }
 
 /** The state that the facts call for now. */
-export function stateOf (member: Member, settings: config.MembershipSettings, now: number): HostState {
+export function computeState (member: Member, settings: config.MembershipSettings, now: number): HostState {
   if (isGone(member, settings, now)) return 'gone'
   if (isLeaving(member, settings, now)) return 'leaving'
   if (member.failures >= settings.failuresToSuspect) return 'suspect'
-  return mayReturn(member, settings, now) ? 'live' : 'suspect'
+  return canRecover(member, settings, now) ? 'live' : 'suspect'
 }
 
 /** Puts a state into force; true if it is another one. */
-export function show (member: Member, state: HostState, now: number): boolean {
-  if (member.shown === state) return false
-  if (state === 'live' && member.shown !== undefined) member.returns.push(now)
-  member.shown = state
+export function publishState (member: Member, state: HostState, now: number): boolean {
+  if (member.publishedState === state) return false
+  if (state === 'live' && member.publishedState !== undefined) member.recoveredAt.push(now)
+  member.publishedState = state
   return true
 }
 
 /** Whether nothing about it can change by time alone. */
 export function isSettled (member: Member): boolean {
-  return member.shown === 'live' && member.failures === 0 && member.missingSince === undefined && member.leavingAt === undefined
+  return member.publishedState === 'live' && member.failures === 0 && member.missingSince === undefined && member.leavingAt === undefined
 }
 
 /** Whether it has been gone for so long that it may be forgotten. */
 export function isForgettable (member: Member, settings: config.MembershipSettings, now: number): boolean {
-  return member.shown === 'gone' && member.missingSince !== undefined && now - member.missingSince >= settings.flapWindowMs
+  return member.publishedState === 'gone' && member.missingSince !== undefined && now - member.missingSince >= settings.flapWindowMs
 }
--- a/packages/decide/membership/src/membership.test.ts
+++ b/packages/decide/membership/src/membership.test.ts
@@ -14,7 +14,7 @@
 const second = 'run-2' as types.Incarnation
 const h0 = 'h0' as types.HostId
 
-function entry (host: types.HostId, state: 'live' | 'leaving' = 'live'): types.HostEntry {
+function createEntry (host: types.HostId, state: 'live' | 'leaving' = 'live'): types.HostEntry {
   return {
     host,
     role: 'sidecar',
@@ -29,107 +29,107 @@
   return Array.from({ length: count }, (_, index) => `h${index}` as types.HostId)
 }
 
-function listOf (version: number, hosts: readonly types.HostEntry[]): types.HostList {
+function createList (version: number, hosts: readonly types.HostEntry[]): types.HostList {
   return { version, hosts }
 }
 
-function start (count = 4): membership.Membership {
+function createTable (count = 4): membership.Membership {
   const table = membership.createMembership({ settings, self, now: 0 })
-  table.applyHostList(listOf(1, hostNames(count).map((host) => entry(host))), 0)
+  table.applyHostList(createList(1, hostNames(count).map((host) => createEntry(host))), 0)
   return table
 }
 
-function stateOf (table: membership.Membership, host: types.HostId): string | undefined {
-  return table.getView().hosts.find((found) => found.entry.host === host)?.state
+function getState (table: membership.Membership, host: types.HostId): string | undefined {
+  return table.getView().hosts.find((member) => member.entry.host === host)?.state
 }
 
 const selectAll = (): selectHosts.HostSelector => selectHosts.createHostSelector(() => true)
 
 tap.test('a failure takes effect at the next batch and an answer ends it', async (t) => {
-  const table = start()
+  const table = createTable()
   table.noteFailure(h0, 100)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
   t.notOk(table.tick(settings.batchMs - 1))
   t.ok(table.tick(settings.batchMs))
-  t.equal(stateOf(table, h0), 'suspect')
+  t.equal(getState(table, h0), 'suspect')
   table.noteAnswer(h0, first, false, 1_500)
   table.tick(2_000)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
 })
 
 tap.test('a leaving host gets no new work at once, until another incarnation answers', async (t) => {
-  const table = start()
+  const table = createTable()
   table.noteAnswer(h0, first, false, 10)
   table.noteLeaving(h0, 20)
-  t.equal(stateOf(table, h0), 'leaving')
+  t.equal(getState(table, h0), 'leaving')
   table.noteAnswer(h0, first, false, 30)
   table.tick(1_000)
-  t.equal(stateOf(table, h0), 'leaving', 'a crossed answer of the same incarnation changes nothing')
+  t.equal(getState(table, h0), 'leaving', 'a crossed answer of the same incarnation changes nothing')
   table.noteAnswer(h0, second, false, 1_500)
   table.noteAnswer(h0, first, true, 1_600)
   table.tick(2_000)
-  t.equal(stateOf(table, h0), 'live', 'a late answer of the earlier incarnation says nothing of the new one')
+  t.equal(getState(table, h0), 'live', 'a late answer of the earlier incarnation says nothing of the new one')
 })
 
 tap.test('an empty or older list changes nothing', async (t) => {
-  const table = start()
+  const table = createTable()
   const before = table.getView()
-  table.applyHostList(listOf(9, []), 1_000)
-  table.applyHostList(listOf(0, [entry(h0)]), 1_000)
+  table.applyHostList(createList(9, []), 1_000)
+  table.applyHostList(createList(0, [createEntry(h0)]), 1_000)
   for (let now = 1_000; now <= 2 * settings.massLossMs; now += 1_000) table.tick(now)
   t.equal(table.getView(), before)
 })
 
 tap.test('a list that starts its versions anew is taken after a while, one late list is not', async (t) => {
-  const table = start(2)
-  const restarted = listOf(0, [entry(h0, 'leaving'), entry('h1' as types.HostId)])
+  const table = createTable(2)
+  const restarted = createList(0, [createEntry(h0, 'leaving'), createEntry('h1' as types.HostId)])
   let now = settings.staleListMs
   for (let read = 1; read <= settings.staleListReads; read += 1) {
-    t.equal(stateOf(table, h0), 'live')
+    t.equal(getState(table, h0), 'live')
     table.applyHostList(restarted, now)
     table.tick(now += settings.staleListMs)
   }
-  t.equal(stateOf(table, h0), 'leaving')
+  t.equal(getState(table, h0), 'leaving')
 })
 
 tap.test('a list that loses most hosts keeps those that do not fail for longer', async (t) => {
-  const table = start(4)
-  table.applyHostList(listOf(2, [entry('h3' as types.HostId)]), 0)
+  const table = createTable(4)
+  table.applyHostList(createList(2, [createEntry('h3' as types.HostId)]), 0)
   table.noteFailure('h1' as types.HostId, 0)
   table.tick(settings.missingMs)
-  t.equal(stateOf(table, h0), 'live')
-  t.equal(stateOf(table, 'h1' as types.HostId), 'gone')
+  t.equal(getState(table, h0), 'live')
+  t.equal(getState(table, 'h1' as types.HostId), 'gone')
   table.tick(settings.massLossMs)
-  t.equal(stateOf(table, h0), 'gone')
+  t.equal(getState(table, h0), 'gone')
 })
 
 tap.test('a host that the list drops is gone after the grace, and forgotten in the end', async (t) => {
-  const table = start(4)
-  table.applyHostList(listOf(2, hostNames(4).slice(1).map((host) => entry(host))), 0)
+  const table = createTable(4)
+  table.applyHostList(createList(2, hostNames(4).slice(1).map((host) => createEntry(host))), 0)
   table.tick(settings.missingMs - 1)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
   table.tick(settings.missingMs + settings.batchMs)
-  t.equal(stateOf(table, h0), 'gone')
+  t.equal(getState(table, h0), 'gone')
   table.tick(settings.flapWindowMs)
-  t.equal(stateOf(table, h0), undefined)
+  t.equal(getState(table, h0), undefined)
 })
 
 tap.test('the view and its selections stay the same objects while nothing changes', async (t) => {
-  const table = start()
+  const table = createTable()
   const select = selectAll()
   const view = table.getView()
   const hosts = select(view)
   table.noteAnswer(h0, first, false, 10)
   table.noteFailure(h0, 20)
   table.noteAnswer(h0, first, false, 30)
-  table.applyHostList(listOf(2, hostNames(4).map((host) => entry(host))), 40)
+  table.applyHostList(createList(2, hostNames(4).map((host) => createEntry(host))), 40)
   t.notOk(table.tick(1_000))
   t.equal(table.getView(), view)
   t.equal(select(table.getView()), hosts)
 })
 
 tap.test('probes are few a batch, and less often for each host', async (t) => {
-  const table = start(20)
+  const table = createTable(20)
   for (const host of hostNames(20)) table.noteFailure(host, 0)
   table.tick(settings.batchMs)
   let sent = 0
@@ -143,7 +143,7 @@
 })
 
 tap.test('a process that reaches almost nobody doubts itself', async (t) => {
-  const table = start(9)
+  const table = createTable(9)
   const select = selectAll()
   for (const host of hostNames(9).slice(0, 6)) table.noteFailure(host, 0)
   table.tick(1_000)
@@ -157,7 +157,7 @@
 tap.test('reading the host list costs no more bytes a second in a large fleet', async (t) => {
   t.equal(pollInterval.computeHostListPollMs(29, 1_000), 1_000)
   for (const hosts of [30, 370, 2_000]) {
-    const bytes = JSON.stringify(listOf(1, hostNames(hosts).map((host) => entry(host)))).length
+    const bytes = JSON.stringify(createList(1, hostNames(hosts).map((host) => createEntry(host)))).length
     const bytesPerSecond = bytes / (pollInterval.computeHostListPollMs(hosts, 1_000) / 1_000)
     t.ok(bytesPerSecond <= 4_400, `${hosts} hosts: ${bytesPerSecond} bytes/s`)
   }
@@ -183,23 +183,23 @@
     case 'failure': return table.noteFailure(`h${event.host}` as types.HostId, now)
     case 'list': {
       const hosts = hostNames(hostCount).filter((_, index) => (event.missing & (1 << index)) === 0)
-      return table.applyHostList(listOf(event.version, hosts.map((host) => entry(host))), now)
+      return table.applyHostList(createList(event.version, hosts.map((host) => createEntry(host))), now)
     }
     case 'pause':
   }
 }
 
 /** Runs events with a tick each second of a pause; calls back after every step. */
-function runEvents (events: readonly Event[], after: (table: membership.Membership, now: number, event: Event | 'tick') => void): void {
-  const table = start(hostCount)
+function runEvents (events: readonly Event[], onStep: (table: membership.Membership, now: number, event: Event | 'tick') => void): void {
+  const table = createTable(hostCount)
   let now = 0
   for (const event of events) {
     apply(table, event, now)
-    after(table, now, event)
+    onStep(table, now, event)
     const until = event.type === 'pause' ? now + event.ms : now
     for (now += settings.batchMs; now <= until; now += settings.batchMs) {
       table.tick(now)
-      after(table, now, 'tick')
+      onStep(table, now, 'tick')
     }
   }
 }
@@ -232,7 +232,7 @@
         if (state !== 'live' || last.get(host) === 'live' || !last.has(host)) continue
         const recent = [...returns.get(host) ?? [], now].filter((at) => now - at < settings.flapWindowMs)
         returns.set(host, recent)
-        assert.ok(recent.length <= settings.maxReturns, `${host} returned ${recent.length} times`)
+        assert.ok(recent.length <= settings.maxRecoveries, `${host} returned ${recent.length} times`)
       }
       assert.ok(view.hosts.length > 0)
       last = states
@@ -245,7 +245,7 @@
 tap.test('a flapping host moves at most its share, 2 * maxReturns + 1 times a window', async (t) => {
   const homes = await chooseHome.createHomeChooser()
   const programs = Array.from({ length: 2_000 }, (_, index) => `p${index}` as types.ProgramId)
-  const table = start(20)
+  const table = createTable(20)
   const select = selectAll()
   const homesNow = (): (types.HostId | undefined)[] => programs.map((program) => homes.findHome(program, select(table.getView())))
   let before = homesNow()
@@ -260,5 +260,5 @@
     before = after
   }
   t.ok(share > 0)
-  t.equal(moved, (2 * settings.maxReturns + 1) * share)
+  t.equal(moved, (2 * settings.maxRecoveries + 1) * share)
 })
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -51,132 +51,132 @@
   /** Suspect hosts to send a small request now, at most `probesPerBatch`, with a growing pause for each host. */
   takeProbes: (now: number) => types.HostId[]
   /** When the last host list was taken; undefined before the first. */
-  listTakenAt: () => number | undefined
+  getListAppliedAt: () => number | undefined
 }
 
-function sameEntry (a: types.HostEntry, b: types.HostEntry): boolean {
+function isSameEntry (a: types.HostEntry, b: types.HostEntry): boolean {
   return a.state === b.state && a.address === b.address && a.role === b.role &&
     a.region === b.region && a.availabilityZone === b.availabilityZone
 }
 
 export function createMembership ({ settings, self, now: startedAt }: MembershipOptions): Membership {
-  const all = new Map<types.HostId, members.Member>()
+  const membersByHost = new Map<types.HostId, members.Member>()
   /** Hosts whose state may differ at the next batch; a tick costs as many steps. */
   const unsettled = new Set<members.Member>()
   let listVersion: number | undefined
-  let takenAt: number | undefined
+  let listAppliedAt: number | undefined
   /** Lists of a lower version since the last one taken. */
-  let lowerLists = 0
-  let batchAt = startedAt
-  let entriesChanged = false
+  let staleLists = 0
+  let lastBatchAt = startedAt
+  let haveEntriesChanged = false
   let view: MembershipView = { version: 0, hosts: [] }
 
   function publish (): void {
-    const hosts = [...all.values()]
-      .filter((member) => member.shown !== undefined)
+    const hosts = [...membersByHost.values()]
+      .filter((member) => member.publishedState !== undefined)
       .sort((a, b) => a.entry.host < b.entry.host ? -1 : 1)
-      .map((member) => ({ entry: member.entry, state: member.shown!, incarnation: member.incarnation }))
+      .map((member) => ({ entry: member.entry, state: member.publishedState!, incarnation: member.incarnation }))
     view = { version: view.version + 1, hosts }
-    entriesChanged = false
+    haveEntriesChanged = false
   }
 
   function isUsable (list: types.HostList, now: number): boolean {
     if (list.hosts.length === 0) return false
-    if (listVersion === undefined || takenAt === undefined) return true
+    if (listVersion === undefined || listAppliedAt === undefined) return true
     if (list.version >= listVersion) return true
-    lowerLists += 1
-    return lowerLists >= settings.staleListReads && now - takenAt >= settings.staleListMs
+    staleLists += 1
+    return staleLists >= settings.staleListReads && now - listAppliedAt >= settings.staleListMs
   }
 
-  function takeEntry (entry: types.HostEntry): void {
-    const member = all.get(entry.host)
+  function applyEntry (entry: types.HostEntry): void {
+    const member = membersByHost.get(entry.host)
     if (member === undefined) {
       const created = members.createMember(entry)
-      all.set(entry.host, created)
+      membersByHost.set(entry.host, created)
       unsettled.add(created)
       return
     }
-    const returned = member.missingSince !== undefined || (member.entry.state === 'leaving' && entry.state === 'live')
-    if (returned) member.leavingAt = undefined
+    const hasReturned = member.missingSince !== undefined || (member.entry.state === 'leaving' && entry.state === 'live')
+    if (hasReturned) member.leavingAt = undefined
     member.missingSince = undefined
-    if (!sameEntry(member.entry, entry)) entriesChanged = true
+    if (!isSameEntry(member.entry, entry)) haveEntriesChanged = true
     member.entry = entry
-    if (returned || entry.state === 'leaving') unsettled.add(member)
+    if (hasReturned || entry.state === 'leaving') unsettled.add(member)
   }
 
-  function noteMissing (named: ReadonlySet<types.HostId>, now: number): void {
-    const missing = [...all.values()].filter((member) => !named.has(member.entry.host) && member.missingSince === undefined)
-    const known = [...all.values()].filter((member) => member.missingSince === undefined).length
-    const doubted = missing.length > known * settings.massLossFraction
+  function markMissing (listedHosts: ReadonlySet<types.HostId>, now: number): void {
+    const missing = [...membersByHost.values()].filter((member) => !listedHosts.has(member.entry.host) && member.missingSince === undefined)
+    const listedCount = [...membersByHost.values()].filter((member) => member.missingSince === undefined).length
+    const isDoubted = missing.length > listedCount * settings.massLossFraction
     for (const member of missing) {
       member.missingSince = now
-      member.missingDoubted = doubted
+      member.isMissingDoubted = isDoubted
       unsettled.add(member)
     }
   }
 
   function applyHostList (list: types.HostList, now: number): void {
     if (!isUsable(list, now)) return
-    const isFirst = takenAt === undefined
+    const isFirst = listAppliedAt === undefined
     const isKnown = !isFirst && list.version === listVersion
-    takenAt = now
-    lowerLists = 0
+    listAppliedAt = now
+    staleLists = 0
     listVersion = list.version
     if (isKnown) return
-    for (const entry of list.hosts) takeEntry(entry)
-    noteMissing(new Set(list.hosts.map((entry) => entry.host)), now)
+    for (const entry of list.hosts) applyEntry(entry)
+    markMissing(new Set(list.hosts.map((entry) => entry.host)), now)
     if (isFirst) applyBatch(now)
   }
 
   function noteAnswer (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number): void {
-    const member = all.get(host)
-    if (member === undefined || !members.meetIncarnation(member, incarnation)) return
-    if (member.failures > 0 || member.shown !== 'live') unsettled.add(member)
+    const member = membersByHost.get(host)
+    if (member === undefined || !members.acceptIncarnation(member, incarnation)) return
+    if (member.failures > 0 || member.publishedState !== 'live') unsettled.add(member)
     member.failures = 0
-    member.probePauseMs = 0
-    if (leaving) startLeaving(member, now)
+    member.probeBackoffMs = 0
+    if (leaving) markLeaving(member, now)
   }
 
   function noteFailure (host: types.HostId, now: number): void {
-    const member = all.get(host)
+    const member = membersByHost.get(host)
     if (member === undefined || host === self) return
     member.failures += 1
     if (member.failures === 1) member.nextProbeAt = now + settings.probeMs
     unsettled.add(member)
   }
 
-  function startLeaving (member: members.Member, now: number): void {
+  function markLeaving (member: members.Member, now: number): void {
     member.leavingAt = now
     unsettled.add(member)
-    if (member.shown !== 'live' && member.shown !== 'suspect') return
-    members.show(member, 'leaving', now)
+    if (member.publishedState !== 'live' && member.publishedState !== 'suspect') return
+    members.publishState(member, 'leaving', now)
     publish()
   }
 
   function noteLeaving (host: types.HostId, now: number): void {
-    const member = all.get(host)
-    if (member !== undefined) startLeaving(member, now)
+    const member = membersByHost.get(host)
+    if (member !== undefined) markLeaving(member, now)
   }
 
-  function settle (member: members.Member, now: number): boolean {
-    const changed = members.show(member, members.stateOf(member, settings, now), now)
+  function updateState (member: members.Member, now: number): boolean {
+    const hasChanged = members.publishState(member, members.computeState(member, settings, now), now)
     if (members.isSettled(member)) unsettled.delete(member)
-    if (!members.isForgettable(member, settings, now)) return changed
+    if (!members.isForgettable(member, settings, now)) return hasChanged
     unsettled.delete(member)
-    all.delete(member.entry.host)
+    membersByHost.delete(member.entry.host)
     return true
   }
 
   function applyBatch (now: number): boolean {
-    batchAt = now
-    let changed = entriesChanged
-    for (const member of unsettled) changed = settle(member, now) || changed
-    if (changed) publish()
-    return changed
+    lastBatchAt = now
+    let hasChanged = haveEntriesChanged
+    for (const member of unsettled) hasChanged = updateState(member, now) || hasChanged
+    if (hasChanged) publish()
+    return hasChanged
   }
 
   function tick (now: number): boolean {
-    return now - batchAt >= settings.batchMs ? applyBatch(now) : false
+    return now - lastBatchAt >= settings.batchMs ? applyBatch(now) : false
   }
 
   return {
@@ -186,7 +186,7 @@
     noteLeaving,
     tick,
     getView: () => view,
-    takeProbes: (now) => probes.takeDue(unsettled, settings, now).map((member) => member.entry.host),
-    listTakenAt: () => takenAt
+    takeProbes: (now) => probes.takeDueProbes(unsettled, settings, now).map((member) => member.entry.host),
+    getListAppliedAt: () => listAppliedAt
   }
 }
--- a/packages/decide/membership/src/plan-reports.test.ts
+++ b/packages/decide/membership/src/plan-reports.test.ts
@@ -14,7 +14,7 @@
   return Array.from({ length: count }, (_, index) => `h${index}` as types.HostId)
 }
 
-function planOf (self: types.HostId, hosts: readonly types.HostId[]): reports.ReportPlan {
+function createPlan (self: types.HostId, hosts: readonly types.HostId[]): reports.ReportPlan {
   return reports.planReports({
     ranking,
     settings,
@@ -27,50 +27,50 @@
 tap.test('messages of a process in an interval do not grow with the fleet', async (t) => {
   for (const count of [1, 6, 230, 1_000]) {
     const hosts = hostNames(count)
-    const asked = new Map<types.HostId, number>()
-    let most = 0
+    const requestsByPeer = new Map<types.HostId, number>()
+    let maxMessages = 0
     for (const self of hosts) {
-      const plan = planOf(self, hosts)
-      const peers = plan.peersIn(7)
-      for (const peer of peers) asked.set(peer, (asked.get(peer) ?? 0) + 1)
+      const plan = createPlan(self, hosts)
+      const peers = plan.getPeers(7)
+      for (const peer of peers) requestsByPeer.set(peer, (requestsByPeer.get(peer) ?? 0) + 1)
       assert.ok(!peers.includes(self))
       const sent = (plan.parent === undefined ? 0 : 1) + peers.length + plan.otherRoots.length
-      most = Math.max(most, sent + plan.children.length)
+      maxMessages = Math.max(maxMessages, sent + plan.children.length)
     }
-    const askedMost = Math.max(0, ...asked.values())
-    t.ok(most + askedMost <= settings.fanout + 1 + 2 * settings.peersPerInterval + 1, `${count} hosts: ${most} and ${askedMost}`)
+    const maxRequests = Math.max(0, ...requestsByPeer.values())
+    t.ok(maxMessages + maxRequests <= settings.fanout + 1 + 2 * settings.peersPerInterval + 1, `${count} hosts: ${maxMessages} and ${maxRequests}`)
   }
 })
 
 tap.test('every report reaches the one root in few steps, and children agree with parents', async (t) => {
   const hosts = hostNames(230)
-  const plans = new Map(hosts.map((host) => [host, planOf(host, hosts)]))
+  const plans = new Map(hosts.map((host) => [host, createPlan(host, hosts)]))
   const roots = hosts.filter((host) => plans.get(host)!.parent === undefined)
   t.equal(roots.length, 1)
   t.same(plans.get(roots[0]!)!.otherRoots, ['other'])
-  let deepest = 0
+  let maxDepth = 0
   for (const host of hosts) {
     let depth = 0
     for (let at = host; plans.get(at)!.parent !== undefined; at = plans.get(at)!.parent!) {
       assert.ok(plans.get(plans.get(at)!.parent!)!.children.includes(at))
       depth += 1
     }
-    deepest = Math.max(deepest, depth)
+    maxDepth = Math.max(maxDepth, depth)
   }
-  t.equal(deepest, 3)
+  t.equal(maxDepth, 3)
 })
 
 tap.test('all peers are asked in turn', async (t) => {
   const hosts = hostNames(9)
-  const plan = planOf(hosts[0]!, hosts)
-  const asked = [0, 1, 2, 3].flatMap((interval) => plan.peersIn(interval))
+  const plan = createPlan(hosts[0]!, hosts)
+  const asked = [0, 1, 2, 3].flatMap((interval) => plan.getPeers(interval))
   t.same([...asked].sort(), hosts.slice(1))
 })
 
 tap.test('reports never run in a circle, whatever each process believes', async (t) => {
   const views = fc.array(fc.subarray(hostNames(12), { minLength: 1 }), { minLength: 12, maxLength: 12 })
   fc.assert(fc.property(views, (believed) => {
-    const parents = new Map(hostNames(12).map((host, index) => [host, planOf(host, believed[index]!).parent]))
+    const parents = new Map(hostNames(12).map((host, index) => [host, createPlan(host, believed[index]!).parent]))
     for (const host of hostNames(12)) {
       let steps = 0
       for (let at = parents.get(host); at !== undefined; at = parents.get(at)) {
--- a/packages/decide/membership/src/plan-reports.ts
+++ b/packages/decide/membership/src/plan-reports.ts
@@ -36,7 +36,7 @@
   /** Roots of the other zones of the region; empty unless this process is the root of its own. */
   readonly otherRoots: readonly types.HostId[]
   /** Peers of the zone to ask for their own load in an interval, counted from any common origin. */
-  readonly peersIn: (interval: number) => readonly types.HostId[]
+  readonly getPeers: (interval: number) => readonly types.HostId[]
 }
 
 export interface PlanReportsOptions {
@@ -48,27 +48,27 @@
   readonly others: readonly ZoneHosts[]
 }
 
-function treeKey (availabilityZone: types.AvailabilityZoneId): string {
+function createTreeKey (availabilityZone: types.AvailabilityZoneId): string {
   return `reports:${availabilityZone}`
 }
 
-function rootsOf (options: PlanReportsOptions): types.HostId[] {
-  return options.others.flatMap((zone) => options.ranking.findBest(treeKey(zone.availabilityZone), zone.hosts) ?? [])
+function findRoots (options: PlanReportsOptions): types.HostId[] {
+  return options.others.flatMap((zone) => options.ranking.findBest(createTreeKey(zone.availabilityZone), zone.hosts) ?? [])
 }
 
 /** Works out the plan; call it again when the hosts of the region change. */
 export function planReports (options: PlanReportsOptions): ReportPlan {
   const { ranking, settings, self, own } = options
   const hosts = own.hosts.includes(self) ? own.hosts : [...own.hosts, self]
-  const ranked = ranking.rank(treeKey(own.availabilityZone), hosts, hosts.length)
+  const ranked = ranking.rank(createTreeKey(own.availabilityZone), hosts, hosts.length)
   const index = ranked.indexOf(self)
   const firstChild = index * settings.fanout + 1
   const others = ranked.length - 1
-  const peers = Math.min(settings.peersPerInterval, others)
+  const peerCount = Math.min(settings.peersPerInterval, others)
 
-  function peersIn (interval: number): types.HostId[] {
-    return Array.from({ length: peers }, (_, nth) => {
-      const step = 1 + (interval * peers + nth) % others
+  function getPeers (interval: number): types.HostId[] {
+    return Array.from({ length: peerCount }, (_, offset) => {
+      const step = 1 + (interval * peerCount + offset) % others
       return ranked[(index + step) % ranked.length]!
     })
   }
@@ -76,7 +76,7 @@
   return {
     parent: index === 0 ? undefined : ranked[Math.floor((index - 1) / settings.fanout)],
     children: ranked.slice(firstChild, firstChild + settings.fanout),
-    otherRoots: index === 0 ? rootsOf(options) : [],
-    peersIn
+    otherRoots: index === 0 ? findRoots(options) : [],
+    getPeers
   }
 }
--- a/packages/decide/membership/src/poll-interval.ts
+++ b/packages/decide/membership/src/poll-interval.ts
@@ -10,6 +10,6 @@
  * Milliseconds between two reads of a list of so many hosts, at least `leastMs`. Up to 30 hosts this is a second;
  * in a large fleet calls show leaving and dead hosts long before the list does, and only newcomers wait for it.
  */
-export function computeHostListPollMs (hosts: number, leastMs: number): number {
-  return Math.max(leastMs, Math.ceil(hosts * entryBytes / bytesPerSecond * 1_000))
+export function computeHostListPollMs (hosts: number, minIntervalMs: number): number {
+  return Math.max(minIntervalMs, Math.ceil(hosts * entryBytes / bytesPerSecond * 1_000))
 }
--- a/packages/decide/membership/src/select-hosts.ts
+++ b/packages/decide/membership/src/select-hosts.ts
@@ -6,18 +6,18 @@
  * Least share of a selection that must be live; below it the process doubts its own view (its network is likely at
  * fault) and also selects suspect hosts. Under a half, so that losing one of two availability zones is believed.
  */
-export const panicFraction = 1 / 3
+export const minLiveFraction = 1 / 3
 
 export type HostSelector = (view: membership.MembershipView) => readonly types.HostId[]
 
-function sameHosts (a: readonly types.HostId[], b: readonly types.HostId[]): boolean {
+function isSameHosts (a: readonly types.HostId[], b: readonly types.HostId[]): boolean {
   return a.length === b.length && a.every((host, index) => host === b[index])
 }
 
-function select (view: membership.MembershipView, matches: (entry: types.HostEntry) => boolean): types.HostId[] {
+function selectHosts (view: membership.MembershipView, matches: (entry: types.HostEntry) => boolean): types.HostId[] {
   const reachable = view.hosts.filter((host) => (host.state === 'live' || host.state === 'suspect') && matches(host.entry))
   const live = reachable.filter((host) => host.state === 'live')
-  const chosen = live.length < reachable.length * panicFraction ? reachable : live
+  const chosen = live.length < reachable.length * minLiveFraction ? reachable : live
   return chosen.map((host) => host.entry.host)
 }
 
@@ -28,8 +28,8 @@
   return (view) => {
     if (view.version === version) return hosts
     version = view.version
-    const selected = select(view, matches)
-    if (!sameHosts(selected, hosts)) hosts = selected
+    const selected = selectHosts(view, matches)
+    if (!isSameHosts(selected, hosts)) hosts = selected
     return hosts
   }
 }
--- a/packages/decide/membership/src/settings.ts
+++ b/packages/decide/membership/src/settings.ts
@@ -18,7 +18,7 @@
   /** Window of the bound on returns of one host, in milliseconds; a gone host is remembered as long. */
   readonly flapWindowMs: number
   /** Times that one host may become live again within the window. */
-  readonly maxReturns: number
+  readonly maxRecoveries: number
   /** Word of leaving is forgotten after this many milliseconds without another. */
   readonly leavingMs: number
   /** First pause between probes of a suspect host in milliseconds; it doubles up to `maxProbeMs`. */
@@ -37,7 +37,7 @@
   staleListMs: 30_000,
   staleListReads: 3,
   flapWindowMs: 600_000,
-  maxReturns: 3,
+  maxRecoveries: 3,
   leavingMs: 900_000,
   probeMs: 1_000,
   maxProbeMs: 15_000,
