--- a/packages/decide/limit-client/src/client-limit.ts
+++ b/packages/decide/limit-client/src/client-limit.ts
@@ -17,12 +17,12 @@
 /** Every limit lets at least one request through at once. */
 export function getClientLimit (configured: ConfiguredLimits, name: types.LimitName): shareOwner.ClientLimit {
   switch (name) {
-    case 'calls': return limitOf(configured.callsPerSecond, callBurstSeconds)
-    case 'starts': return limitOf(configured.startsPerMinute / secondsPerMinute, startBurstSeconds)
+    case 'calls': return createLimit(configured.callsPerSecond, callBurstSeconds)
+    case 'starts': return createLimit(configured.startsPerMinute / secondsPerMinute, startBurstSeconds)
     default: return errors.unreachable(name)
   }
 }
 
-function limitOf (perSecond: number, burstSeconds: number): shareOwner.ClientLimit {
+function createLimit (perSecond: number, burstSeconds: number): shareOwner.ClientLimit {
   return { perSecond, burst: Math.max(1, perSecond * burstSeconds) }
 }
--- a/packages/decide/limit-client/src/limit-client.test.ts
+++ b/packages/decide/limit-client/src/limit-client.test.ts
@@ -19,14 +19,14 @@
 }), { minLength: 50, maxLength: 300 })
 
 /** Requests taken, with their times, where every refused holder asks the owner. */
-function play (all: readonly Step[], ownerChangesAt: number): Array<{ at: number, amount: number }> {
+function simulate (allSteps: readonly Step[], ownerChangesAt: number): Array<{ at: number, amount: number }> {
   let now = 0
   let owner = shareOwner.createShareOwner(limit, now, leaseMs)
   const states = holders.map(() => shareHolder.createShareHolder(now))
   const taken: Array<{ at: number, amount: number }> = []
-  all.forEach((step, at) => {
+  allSteps.forEach((step, index) => {
     now += step.waitMs
-    if (at === ownerChangesAt) owner = shareOwner.createShareOwner(limit, now, leaseMs)
+    if (index === ownerChangesAt) owner = shareOwner.createShareOwner(limit, now, leaseMs)
     const tried = shareHolder.takeShare(states[step.holder]!, step.amount, now)
     states[step.holder] = tried.holder
     if (tried.result.type === 'taken') taken.push({ at: now, amount: step.amount })
@@ -38,30 +38,30 @@
   return taken
 }
 
-function mostOver (taken: ReadonlyArray<{ at: number, amount: number }>): number {
-  let most = -Infinity
+function computeMaxExcess (taken: ReadonlyArray<{ at: number, amount: number }>): number {
+  let maxExcess = -Infinity
   for (let from = 0; from < taken.length; from += 1) {
     let sum = 0
     for (let to = from; to < taken.length; to += 1) {
       sum += taken[to]!.amount
-      most = Math.max(most, sum - limit.perSecond * (taken[to]!.at - taken[from]!.at) / 1000)
+      maxExcess = Math.max(maxExcess, sum - limit.perSecond * (taken[to]!.at - taken[from]!.at) / 1000)
     }
   }
-  return most
+  return maxExcess
 }
 
 tap.test('all holders together stay within the stated bound', async (t) => {
-  fc.assert(fc.property(steps, (all) => mostOver(play(all, -1)) <= 2 * limit.burst + 1e-6), { seed: 1, numRuns: 300 })
+  fc.assert(fc.property(steps, (all) => computeMaxExcess(simulate(all, -1)) <= 2 * limit.burst + 1e-6), { seed: 1, numRuns: 300 })
 })
 
 tap.test('a change of owner adds no more than stated', async (t) => {
   const extra = limit.perSecond * leaseMs / 1000 + limit.burst
-  fc.assert(fc.property(steps, (all) => mostOver(play(all, 25)) <= 2 * limit.burst + extra + 1e-6), { seed: 2, numRuns: 300 })
+  fc.assert(fc.property(steps, (all) => computeMaxExcess(simulate(all, 25)) <= 2 * limit.burst + extra + 1e-6), { seed: 2, numRuns: 300 })
 })
 
 tap.test('a steady client gets its rate through one holder', async (t) => {
   const steady = Array.from({ length: 400 }, () => ({ waitMs: 50, holder: 0, amount: 1, grantLost: false }))
-  const taken = play(steady, -1).length
+  const taken = simulate(steady, -1).length
   t.ok(taken >= 0.9 * 400, `took ${taken} of 400 at the limit's own rate`)
 })
 
--- a/packages/decide/limit-client/src/share-holder.ts
+++ b/packages/decide/limit-client/src/share-holder.ts
@@ -7,11 +7,11 @@
   readonly burst: number
   readonly level: number
   /** When the share ends, on the holder's clock, in milliseconds. */
-  readonly until: number
+  readonly expiresAt: number
   readonly at: number
   /** Requested of this holder since the last grant, to be asked for next. */
-  readonly asked: number
-  readonly askedSince: number
+  readonly requested: number
+  readonly requestedSince: number
 }
 
 export type TakeResult =
@@ -19,64 +19,64 @@
   /** Not run; the holder should ask the owner when `askOwner` is set. */
   | { readonly type: 'limited', readonly retryAfterMs: number, readonly askOwner: boolean }
 
-export interface Taking {
+export interface TakeOutcome {
   readonly holder: ShareHolder
   readonly result: TakeResult
 }
 
 /** Part of a lease after which the holder asks for the next one. */
-const renewAfterPart = 0.5
+const renewAfterFraction = 0.5
 /** Time to come back while no share is held. */
-const withoutShareMs = 250
+const noShareRetryMs = 250
 
 export function createShareHolder (now: number): ShareHolder {
-  return { perSecond: 0, burst: 0, level: 0, until: now, at: now, asked: 0, askedSince: now }
+  return { perSecond: 0, burst: 0, level: 0, expiresAt: now, at: now, requested: 0, requestedSince: now }
 }
 
 /** Takes an amount if the bucket has it. */
-export function takeShare (holder: ShareHolder, amount: number, now: number): Taking {
-  const filled = fill(holder, now)
-  const asked = { ...filled, asked: filled.asked + amount }
+export function takeShare (holder: ShareHolder, amount: number, now: number): TakeOutcome {
+  const filled = refill(holder, now)
+  const counted = { ...filled, requested: filled.requested + amount }
   if (filled.level >= amount) {
-    return { holder: { ...asked, level: filled.level - amount }, result: { type: 'taken' } }
+    return { holder: { ...counted, level: filled.level - amount }, result: { type: 'taken' } }
   }
-  const missing = amount - filled.level
-  const retryAfterMs = filled.perSecond > 0 ? Math.ceil(1000 * missing / filled.perSecond) : withoutShareMs
-  return { holder: asked, result: { type: 'limited', retryAfterMs, askOwner: true } }
+  const shortfall = amount - filled.level
+  const retryAfterMs = filled.perSecond > 0 ? Math.ceil(1000 * shortfall / filled.perSecond) : noShareRetryMs
+  return { holder: counted, result: { type: 'limited', retryAfterMs, askOwner: true } }
 }
 
 /** What to ask the owner for now. */
 export function computeShareRequest (holder: ShareHolder, now: number): Pick<shareOwner.ShareRequest, 'wantedPerSecond' | 'wantedCredit'> {
-  const seconds = Math.max(1, (now - holder.askedSince) / 1000)
-  const filled = fill(holder, now)
-  return { wantedPerSecond: holder.asked / seconds, wantedCredit: Math.max(0, holder.asked - filled.level) }
+  const seconds = Math.max(1, (now - holder.requestedSince) / 1000)
+  const filled = refill(holder, now)
+  return { wantedPerSecond: holder.requested / seconds, wantedCredit: Math.max(0, holder.requested - filled.level) }
 }
 
 /** Whether the share should be asked for again. */
 export function shouldRenew (holder: ShareHolder, leaseMs: number, now: number): boolean {
-  return now >= holder.until - leaseMs * renewAfterPart
+  return now >= holder.expiresAt - leaseMs * renewAfterFraction
 }
 
 /** Takes over a grant; `askedAt` is when it was asked for, so that the lease ends here before it ends at the owner. */
 export function applyGrant (holder: ShareHolder, grant: shareOwner.ShareGrant, askedAt: number, now: number): ShareHolder {
-  const filled = fill(holder, now)
+  const filled = refill(holder, now)
   return {
     perSecond: grant.perSecond,
     burst: grant.burst,
     level: Math.min(filled.level, grant.burst) + grant.credit,
-    until: askedAt + grant.leaseMs,
+    expiresAt: askedAt + grant.leaseMs,
     at: now,
-    asked: 0,
-    askedSince: now
+    requested: 0,
+    requestedSince: now
   }
 }
 
 /** Fills the bucket up to the end of the share; what is left when it ends is lost. */
-function fill (holder: ShareHolder, now: number): ShareHolder {
-  if (now >= holder.until) return { ...holder, perSecond: 0, burst: 0, level: 0, at: now }
+function refill (holder: ShareHolder, now: number): ShareHolder {
+  if (now >= holder.expiresAt) return { ...holder, perSecond: 0, burst: 0, level: 0, at: now }
   const seconds = Math.max(0, now - holder.at) / 1000
   const filled = holder.level + holder.perSecond * seconds
   // A credit may lift the level above the share's own burst; it is used up, not refilled.
-  const most = Math.max(holder.burst, holder.level)
-  return { ...holder, level: Math.min(most, filled), at: Math.max(now, holder.at) }
+  const capacity = Math.max(holder.burst, holder.level)
+  return { ...holder, level: Math.min(capacity, filled), at: Math.max(now, holder.at) }
 }
--- a/packages/decide/limit-client/src/share-owner.ts
+++ b/packages/decide/limit-client/src/share-owner.ts
@@ -35,16 +35,16 @@
   readonly leaseMs: number
 }
 
-interface Lent {
+interface Lease {
   readonly perSecond: number
-  readonly until: number
+  readonly expiresAt: number
 }
 
 /** Plain state of the owner; replaced, never changed. */
 export interface ShareOwner {
   readonly limit: ClientLimit
   readonly leaseMs: number
-  readonly lent: ReadonlyMap<types.HostId, Lent>
+  readonly leases: ReadonlyMap<types.HostId, Lease>
   /** Saved from the rate that nobody holds. */
   readonly level: number
   readonly at: number
@@ -52,21 +52,21 @@
 
 export const defaultShareLeaseMs = 2_000
 /** Share of the rate that a holder is lent at least while some is left, so that a first request finds it. */
-const smallestShare = 0.01
+const minShareFraction = 0.01
 
 export function createShareOwner (limit: ClientLimit, now: number, leaseMs = defaultShareLeaseMs): ShareOwner {
-  return { limit, leaseMs, lent: new Map(), level: limit.burst, at: now }
+  return { limit, leaseMs, leases: new Map(), level: limit.burst, at: now }
 }
 
 /** Answers a request for a share. The leases of all holders together never exceed the limit's rate. */
-export function grantShare (owner: ShareOwner, req: ShareRequest, now: number): { readonly owner: ShareOwner, readonly grant: ShareGrant } {
-  const filled = fill(owner, now)
-  const others = new Map([...filled.lent].filter(([holder, lent]) => holder !== req.holder && lent.until > now))
-  const perSecond = shareOf(filled, others, req)
-  const credit = Math.max(0, Math.min(filled.level, req.wantedCredit))
-  const lent = new Map(others).set(req.holder, { perSecond, until: now + filled.leaseMs })
+export function grantShare (owner: ShareOwner, request: ShareRequest, now: number): { readonly owner: ShareOwner, readonly grant: ShareGrant } {
+  const filled = refill(owner, now)
+  const others = new Map([...filled.leases].filter(([holder, lease]) => holder !== request.holder && lease.expiresAt > now))
+  const perSecond = computeShare(filled, others, request)
+  const credit = Math.max(0, Math.min(filled.level, request.wantedCredit))
+  const leases = new Map(others).set(request.holder, { perSecond, expiresAt: now + filled.leaseMs })
   return {
-    owner: { ...filled, lent, level: filled.level - credit },
+    owner: { ...filled, leases, level: filled.level - credit },
     grant: {
       perSecond,
       burst: filled.limit.burst * perSecond / filled.limit.perSecond,
@@ -77,26 +77,26 @@
 }
 
 /** Adds what nobody held since the last change; a lease that ended meanwhile counts as held throughout. */
-function fill (owner: ShareOwner, now: number): ShareOwner {
-  const held = sumOf(owner.lent)
+function refill (owner: ShareOwner, now: number): ShareOwner {
+  const leasedRate = sumRates(owner.leases)
   const seconds = Math.max(0, now - owner.at) / 1000
-  const free = Math.max(0, owner.limit.perSecond - held)
+  const free = Math.max(0, owner.limit.perSecond - leasedRate)
   return { ...owner, at: Math.max(now, owner.at), level: Math.min(owner.limit.burst, owner.level + free * seconds) }
 }
 
 /** What is wanted, up to what is free, and a fair part where more is wanted than there is. */
-function shareOf (owner: ShareOwner, others: ReadonlyMap<types.HostId, Lent>, req: ShareRequest): number {
+function computeShare (owner: ShareOwner, others: ReadonlyMap<types.HostId, Lease>, request: ShareRequest): number {
   const rate = owner.limit.perSecond
-  const free = Math.max(0, rate - sumOf(others))
+  const free = Math.max(0, rate - sumRates(others))
   const fair = rate / (others.size + 1)
-  const wanted = Math.max(req.wantedPerSecond, rate * smallestShare)
+  const wanted = Math.max(request.wantedPerSecond, rate * minShareFraction)
   // Room is left for the holders below their fair part to grow into.
-  const most = free > fair ? Math.max(fair, free / 2) : free
-  return Math.min(wanted, most)
+  const maxRate = free > fair ? Math.max(fair, free / 2) : free
+  return Math.min(wanted, maxRate)
 }
 
-function sumOf (lent: ReadonlyMap<types.HostId, Lent>): number {
+function sumRates (leases: ReadonlyMap<types.HostId, Lease>): number {
   let sum = 0
-  for (const share of lent.values()) sum += share.perSecond
+  for (const share of leases.values()) sum += share.perSecond
   return sum
 }
