--- a/packages/decide/choose-home/src/home-chooser.test.ts
+++ b/packages/decide/choose-home/src/home-chooser.test.ts
@@ -6,11 +6,11 @@
 
 const homes = await chooser.createHomeChooser()
 
-function hostList (count: number): types.HostId[] {
+function createHosts (count: number): types.HostId[] {
   return Array.from({ length: count }, (_, index) => `host-${index}` as types.HostId)
 }
 
-function programList (count: number): types.ProgramId[] {
+function createPrograms (count: number): types.ProgramId[] {
   return Array.from({ length: count }, (_, index) => `order-${index}` as types.ProgramId)
 }
 
@@ -33,18 +33,18 @@
 
 // Pins the function itself: processes of two versions must agree while a fleet is being replaced.
 tap.test('known homes stay as they are', async (t) => {
-  const hosts = hostList(30)
+  const hosts = createHosts(30)
   const found = ['order-1', 'roster.7', 'intake-12'].map((id) => homes.findHome(id as types.ProgramId, hosts))
   t.same(found, ['host-10', 'host-27', 'host-14'])
 })
 
 tap.test('a lost host moves only its own programs, each to the next in rank', async (t) => {
   fc.assert(fc.property(programArb, hostsArb, fc.nat(), (program, hosts, pick) => {
-    const lost = hosts[pick % hosts.length]!
-    const left = hosts.filter((host) => host !== lost)
+    const lostHost = hosts[pick % hosts.length]!
+    const remainingHosts = hosts.filter((host) => host !== lostHost)
     const [first, second] = homes.rankHomes(program, hosts, 2)
-    const expected = first === lost ? second : first
-    assert.equal(homes.findHome(program, left), expected)
+    const expected = first === lostHost ? second : first
+    assert.equal(homes.findHome(program, remainingHosts), expected)
   }), { seed: 2, numRuns: 500 })
   t.pass('500 losses')
 })
@@ -63,9 +63,9 @@
 tap.test('programs spread evenly over 30, 370 and 2,000 hosts', async (t) => {
   const meanPrograms = 49
   for (const count of [30, 370, 2000]) {
-    const hosts = hostList(count)
+    const hosts = createHosts(count)
     const loads = new Map<types.HostId, number>(hosts.map((host) => [host, 0]))
-    for (const program of programList(count * meanPrograms)) {
+    for (const program of createPrograms(count * meanPrograms)) {
       const home = homes.findHome(program, hosts)!
       loads.set(home, loads.get(home)! + 1)
     }
@@ -79,12 +79,12 @@
   const program = 'order-1' as types.ProgramId
   t.equal(homes.findHome(program, []), undefined)
   t.same(homes.rankHomes(program, []), [])
-  const twice = [...hostList(2), ...hostList(2)]
+  const twice = [...createHosts(2), ...createHosts(2)]
   t.equal(homes.rankHomes(program, twice, 4).length, 2)
 })
 
 tap.test('kinds of task are hashed apart', async (t) => {
-  const hosts = hostList(500)
+  const hosts = createHosts(500)
   const owners = new Set([
     homes.findHome('7' as types.ProgramId, hosts),
     homes.findOwner({ type: 'clientLimit', client: '7' as types.ClientId }, hosts),
--- a/packages/decide/choose-home/src/home-chooser.ts
+++ b/packages/decide/choose-home/src/home-chooser.ts
@@ -31,7 +31,7 @@
 }
 
 /** The key that a task is hashed by; the prefix keeps kinds of task apart. */
-function keyOf (task: OwnedTask): string {
+function createTaskKey (task: OwnedTask): string {
   switch (task.type) {
     case 'clientLimit': return `client:${task.client}`
     case 'journalShard': return `shard:${task.shard}`
@@ -47,6 +47,6 @@
   return {
     findHome: (program, hosts) => ranking.findBest(`program:${program}`, hosts),
     rankHomes: (program, hosts, count = defaultRankCount) => ranking.rank(`program:${program}`, hosts, count),
-    findOwner: (task, hosts) => ranking.findBest(keyOf(task), hosts)
+    findOwner: (task, hosts) => ranking.findBest(createTaskKey(task), hosts)
   }
 }
--- a/packages/decide/choose-home/src/rendezvous.ts
+++ b/packages/decide/choose-home/src/rendezvous.ts
@@ -26,27 +26,27 @@
 
 /** Finalizer of a 32-bit hash (murmur3), signed: every input bit changes about half of the output bits. */
 function mix (value: number): number {
-  let h = value
-  h = Math.imul(h ^ (h >>> 16), 0x85ebca6b)
-  h = Math.imul(h ^ (h >>> 13), 0xc2b2ae35)
-  return h ^ (h >>> 16)
+  let hash = value
+  hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
+  hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35)
+  return hash ^ (hash >>> 16)
 }
 
 /** Score of a host for a key. Two words each, so that two hosts share all scores only if 64 bits collide. */
-function scoreOf (keyFirst: number, keySecond: number, hostFirst: number, hostSecond: number): number {
+function computeScore (keyFirst: number, keySecond: number, hostFirst: number, hostSecond: number): number {
   return mix(mix(keyFirst ^ hostFirst) ^ keySecond ^ hostSecond)
 }
 
 /** A ranking longer than this is sorted whole. */
-const longRanking = 16
+const maxPartialRanking = 16
 
-function sorted (scores: Int32Array): number[] {
+function sortByScore (scores: Int32Array): number[] {
   return Array.from(scores, (_, index) => index).sort((a, b) => scores[b]! - scores[a]! || a - b)
 }
 
 /** Indexes with the highest scores, highest first; of equal scores the lower index, which is the lesser host id. */
-function highest (scores: Int32Array, count: number): number[] {
-  if (count > longRanking) return sorted(scores).slice(0, count)
+function selectHighest (scores: Int32Array, count: number): number[] {
+  if (count > maxPartialRanking) return sortByScore(scores).slice(0, count)
   const top: number[] = []
   for (let index = 0; index < scores.length; index += 1) {
     const score = scores[index]!
@@ -62,7 +62,7 @@
 /** Loads the hash function. */
 export async function createRendezvous (): Promise<Rendezvous> {
   const { h32 } = await xxhash()
-  const hashed = new WeakMap<readonly types.HostId[], HashedHosts>()
+  const hashedHostsByList = new WeakMap<readonly types.HostId[], HashedHosts>()
 
   function hashHosts (list: readonly types.HostId[]): HashedHosts {
     const hosts = [...new Set(list)].sort()
@@ -73,23 +73,23 @@
     }
   }
 
-  function hashedOf (list: readonly types.HostId[]): HashedHosts {
-    let found = hashed.get(list)
+  function getHashedHosts (list: readonly types.HostId[]): HashedHosts {
+    let found = hashedHostsByList.get(list)
     if (found === undefined) {
       found = hashHosts(list)
-      hashed.set(list, found)
+      hashedHostsByList.set(list, found)
     }
     return found
   }
 
-  function best (key: string, list: readonly types.HostId[]): types.HostId | undefined {
-    const { hosts, first, second } = hashedOf(list)
+  function findBest (key: string, list: readonly types.HostId[]): types.HostId | undefined {
+    const { hosts, first, second } = getHashedHosts(list)
     const keyFirst = h32(key, firstSeed) | 0
     const keySecond = h32(key, secondSeed) | 0
     let bestIndex = 0
     let bestScore = lowestScore
     for (let index = 0; index < hosts.length; index += 1) {
-      const score = scoreOf(keyFirst, keySecond, first[index]!, second[index]!)
+      const score = computeScore(keyFirst, keySecond, first[index]!, second[index]!)
       if (score <= bestScore) continue
       bestScore = score
       bestIndex = index
@@ -98,15 +98,15 @@
   }
 
   function rank (key: string, list: readonly types.HostId[], count: number): types.HostId[] {
-    const { hosts, first, second } = hashedOf(list)
+    const { hosts, first, second } = getHashedHosts(list)
     const keyFirst = h32(key, firstSeed) | 0
     const keySecond = h32(key, secondSeed) | 0
     const scores = new Int32Array(hosts.length)
     for (let index = 0; index < hosts.length; index += 1) {
-      scores[index] = scoreOf(keyFirst, keySecond, first[index]!, second[index]!)
+      scores[index] = computeScore(keyFirst, keySecond, first[index]!, second[index]!)
     }
-    return highest(scores, count).map((index) => hosts[index]!)
+    return selectHighest(scores, count).map((index) => hosts[index]!)
   }
 
-  return { findBest: best, rank }
+  return { findBest, rank }
 }
