--- a/packages/decide/track-upstreams/src/choose-upstream.test.ts
+++ b/packages/decide/track-upstreams/src/choose-upstream.test.ts
@@ -22,7 +22,7 @@
   return { list, choose, getUpstream: (name: string) => list.get(name as types.UpstreamId)! }
 }
 
-/** Uniform in [0, 1), the same in every run. */
+/** A seeded random generator, uniform in [0, 1). */
 function createRandom (): () => number {
   let state = 7
   return () => {
@@ -31,7 +31,7 @@
   }
 }
 
-tap.test('the least used upstream takes a request that prefers none', (t) => {
+tap.test('a request without affinity goes to the least loaded upstream', (t) => {
   const { choose } = createFixture({ a: 4, b: 1, c: 3 })
   t.equal(choose(), 'b')
   t.equal(choose(undefined, ['b']), 'c')
@@ -39,7 +39,7 @@
   t.end()
 })
 
-tap.test('a trickle of calls keeps to upstreams with an open connection, a rush spreads over all', (t) => {
+tap.test('calls at a low rate reuse upstreams with an open connection, calls at a high rate spread over all', (t) => {
   const names = Array.from({ length: 60 }, (_, index) => `s${index}`)
   const simulateCalls = (intervalMs: number, callMs: number): { readonly connectionsOpened: number, readonly maxRunning: number } => {
     const { list, getUpstream } = createFixture(Object.fromEntries(names.map((name) => [name, 0])))
@@ -63,14 +63,14 @@
     }
     return { connectionsOpened, maxRunning }
   }
-  const trickle = simulateCalls(50, 80)
-  t.ok(trickle.connectionsOpened <= 60, `${trickle.connectionsOpened} of 600 calls opened a connection`)
-  const rush = simulateCalls(1, 80)
-  t.ok(rush.maxRunning <= 6, `${rush.maxRunning} at once`)
+  const lowRate = simulateCalls(50, 80)
+  t.ok(lowRate.connectionsOpened <= 60, `${lowRate.connectionsOpened} of 600 calls opened a connection`)
+  const highRate = simulateCalls(1, 80)
+  t.ok(highRate.maxRunning <= 6, `${highRate.maxRunning} at once`)
   t.end()
 })
 
-tap.test('a chain stays where it is cached until that engine is much busier than the rest', (t) => {
+tap.test('a program stays on the engine that has its prompt cached until that engine is much busier than the others', (t) => {
   const { choose, getUpstream } = createFixture({ a: 12, b: 4, c: 4, d: 4 })
   t.equal(choose('a'), 'a')
   getUpstream('a').running = 24
@@ -78,7 +78,7 @@
   t.end()
 })
 
-/** Sends first turns of programs that share one of some parts, popular ones more often; each runs for a while. */
+/** Sends the first turns of programs whose prompts begin with one of several shared prefixes, some more popular than others. */
 function simulateFirstTurns (prefixCount: number, engineCount: number, turnCount: number) {
   const { list } = createFixture(Object.fromEntries(Array.from({ length: engineCount }, (_, index) => [`e${index}`, 0])))
   for (const { listed } of [...list.getByService(service)]) list.put({ ...listed, slots: 8 })
@@ -99,50 +99,50 @@
   return { maxRunning, meanUpstreams }
 }
 
-tap.test('first turns: engines are evenly used, and each shared part lies in few of them', (t) => {
+tap.test('first turns: load is spread evenly over the engines, and each shared prefix is cached on few of them', (t) => {
   const { maxRunning, meanUpstreams } = simulateFirstTurns(8, 24, 4_000)
   t.ok(maxRunning <= 6, `at most ${maxRunning} of 8 slots at a mean of 4`)
-  t.ok(meanUpstreams < 16, `a part lies in ${meanUpstreams} of 24 engines`)
+  t.ok(meanUpstreams < 16, `a prefix is cached on ${meanUpstreams} of 24 engines`)
   t.end()
 })
 
-tap.test('what other processes run counts as what this one runs', (t) => {
+tap.test('requests of other processes count like those of this process', (t) => {
   t.equal(createFixture({ a: 1, b: 2 }, { a: 3 }).choose(), 'b')
-  t.equal(createFixture({ a: 0, b: 0 }, { a: 10 }).choose('a'), 'b', 'the engine that holds the chain is busy with the turns of others')
+  t.equal(createFixture({ a: 0, b: 0 }, { a: 10 }).choose('a'), 'b', 'the engine with the cached prompt is busy with requests of other processes')
   t.equal(createFixture({ a: 0, b: 0 }, { a: 9 }).choose('a'), 'a')
   t.end()
 })
 
-tap.test('of many, a few are drawn: the least used one does not get everything until the next report', (t) => {
+tap.test('selection samples a few of many upstreams, so that the least loaded one does not get all requests until the next report', (t) => {
   const counts = Object.fromEntries(Array.from({ length: 24 }, (_, index) => [`e${index}`, index === 7 ? 0 : 3]))
   const { choose } = createFixture(counts)
   t.not(choose(), 'e7')
   t.end()
 })
 
-tap.test('full upstreams are asked before ejected ones', (t) => {
+tap.test('full upstreams are preferred to ejected ones', (t) => {
   const { choose, getUpstream } = createFixture({ a: 0, b: 0 })
   getUpstream('a').ejectedUntil = 2_000
   t.equal(choose('a'), 'b')
   getUpstream('b').fullUntil = 2_000
   t.equal(choose('a'), 'b')
-  t.equal(choose('a', ['b']), 'a', 'the only one left')
+  t.equal(choose('a', ['b']), 'a', 'the only candidate')
   t.end()
 })
 
-tap.test('leaving upstreams take nothing, avoided ones only where there is no other', (t) => {
+tap.test('leaving upstreams are never selected, failing ones only if there is no other', (t) => {
   const { list, choose, getUpstream } = createFixture({ a: 0, b: 0 })
   list.put({ ...getUpstream('a').listed, leaving: true })
   t.equal(choose('a'), 'b')
   upstreamList.noteUnresponsive(getUpstream('b'), 1_000)
-  t.equal(choose(), 'b', 'the only one left')
+  t.equal(choose(), 'b', 'the only candidate')
   list.put({ ...getUpstream('a').listed, leaving: false })
   t.equal(choose('b'), 'a')
-  t.equal(choose('b', [], 10_000), 'b', 'after the pause')
+  t.equal(choose('b', [], 10_000), 'b', 'after the backoff')
   t.end()
 })
 
-tap.test('pauses after failures grow and end with a success', (t) => {
+tap.test('the backoff grows with each failure and ends with a success', (t) => {
   const { getUpstream } = createFixture({ a: 0 })
   const backoffsMs = [1, 2, 3, 4, 5, 6].map(() => {
     upstreamList.noteFailure(getUpstream('a'), 0)
@@ -154,7 +154,7 @@
   t.end()
 })
 
-tap.test('an address that another service took belongs to that service alone', (t) => {
+tap.test('an upstream that changes its service is no longer listed under the former one', (t) => {
   const { list, choose, getUpstream } = createFixture({ a: 0, b: 5 })
   list.put({ ...getUpstream('a').listed, service: 'other' as types.ServiceId })
   t.equal(choose(), 'b')
--- a/packages/decide/track-upstreams/src/choose-upstream.ts
+++ b/packages/decide/track-upstreams/src/choose-upstream.ts
@@ -1,24 +1,24 @@
-/** Chooses the upstream of the next request. */
+/** Selects the upstream for a request by load, health and prompt-cache affinity. */
 import * as hashText from '@eelgrasswind/hash-text'
 import type * as types from '@eelgrasswind/types'
 import type * as list from './upstream-list.js'
 
-/** What of a prompt may lie in the memory of an upstream. */
+/** Hints about which upstreams may have parts of a prompt cached. */
 export interface PromptAffinity {
-  /** The upstream that ran the turn before. */
+  /** The upstream that ran the previous turn. */
   readonly holder: types.UpstreamId | undefined
-  /** The first part of the prompt, which programs share. */
+  /** Identifies the first part of the prompt, which several programs may have in common. */
   readonly sharedPrefix: string | undefined
 }
 
-/** What the choice depends on. */
+/** Input of one selection. */
 export interface ChooseInput {
   readonly candidates: readonly list.Upstream[]
   /** Upstreams that this request was already sent to. */
   readonly tried: ReadonlySet<types.UpstreamId>
-  /** `undefined`: nothing of the request lies in the memory of any upstream. */
+  /** `undefined` if no upstream can have any part of the request cached. */
   readonly affinity: PromptAffinity | undefined
-  /** Requests that other processes have running there. */
+  /** Requests that other processes have in flight at an upstream. */
   readonly othersRunning: (upstream: types.UpstreamId) => number
   /** Monotonic ms. */
   readonly now: number
@@ -26,21 +26,25 @@
   readonly random: () => number
 }
 
-/** Upstreams drawn for one choice. What others run is known up to 800 ms late: the least used of all would get everything at once. */
+/**
+ * Number of upstreams sampled for one selection. The load caused by other processes is known up to 800 ms late, so
+ * that always taking the least loaded upstream would send it the requests of all processes at once.
+ */
 const sampleSize = 3
-/** An upstream that was heard of within this time, in ms, has most likely a connection left: idle ones are closed after 3.5 s. */
+/** An upstream that sent something within this time, in ms, most likely still has an open connection: idle ones are closed after 3.5 s. */
 const openConnectionMs = 3_000
-/** Up to this share of its slots an upstream serves a call as fast as when idle. */
+/** Up to this share of its slots an upstream serves a request as fast as when it is idle. */
 const lightLoad = 0.5
-/** How far above the mean load of its service an upstream may be and still be given more, as a factor. */
+/** An upstream may get more requests while its load is at most this multiple of the mean load of its service. */
 const loadBoundFactor = 1.25
 /**
- * Beyond that, the share of its slots by which the holder of a chain may be busier. One more request beside a turn
- * costs it about 12 ms (steps and the reading of the other prompts), reading a chain of 3,000 tokens again 27 to 50 ms.
+ * Added to that bound for the upstream with the cached prompt, as a share of its slots. A further concurrent request
+ * slows a turn by about 12 ms (batch steps and prefill of the other prompts); prefilling 3,000 uncached tokens takes
+ * 27 to 50 ms.
  */
 const holderLoadMargin = 0.375
 
-/** `undefined`: none may take it. */
+/** Selects an upstream that was not tried yet and is not leaving; `undefined` if there is none. */
 export function chooseUpstream (input: ChooseInput): list.Upstream | undefined {
   const usable = input.candidates.filter((upstream) => !upstream.listed.leaving && !input.tried.has(upstream.listed.id))
   const pool = selectHealthiest(usable, input.now)
@@ -49,8 +53,8 @@
 }
 
 /**
- * A call goes where an open connection is likely to be left, as long as that upstream has room: with many upstreams a
- * process would otherwise come back to each of them only after it has closed its connection.
+ * Prefers a lightly loaded upstream that probably still has an open connection. With many upstreams, requests spread
+ * evenly would reach each of them only after its idle connection was closed.
  */
 function chooseForCall (pool: readonly list.Upstream[], input: ChooseInput): list.Upstream | undefined {
   const connected = pool.filter((upstream) => input.now - upstream.lastActivityAt < openConnectionMs)
@@ -60,9 +64,9 @@
 }
 
 /**
- * The holder of the chain, unless it is much busier than the rest. Otherwise the upstreams are asked in an order that
- * all processes share for the prompt's first part, and the first that is not above the mean takes it: each part lies in
- * the memory of as few upstreams as its share of the load needs (consistent hashing with bounded loads).
+ * Selects the holder of the cached prompt, unless it is much busier than the others. Otherwise takes the first upstream
+ * within the load bound, in the order in which all processes rank upstreams for the shared prefix. Each prefix is then
+ * cached on as few upstreams as its share of the load requires (consistent hashing with bounded loads).
  */
 function chooseForPrompt (pool: readonly list.Upstream[], affinity: PromptAffinity, input: ChooseInput): list.Upstream | undefined {
   const holder = pool.find((upstream) => upstream.listed.id === affinity.holder)
@@ -77,19 +81,19 @@
   return findLeastLoaded(pool, input)
 }
 
-/** How full a service is: requests of all processes at its sound upstreams, as a share of their slots. */
+/** Mean load of the healthy upstreams of a service: requests of all processes as a share of the slots. */
 export function computeServiceLoad (input: Pick<ChooseInput, 'candidates' | 'othersRunning' | 'now'>): number {
   const usable = input.candidates.filter((upstream) => !upstream.listed.leaving)
   return computeMeanLoad(selectHealthiest(usable, input.now), input)
 }
 
-/** Rendezvous hashing: the same order in every process, with no messages. */
+/** Ranks upstreams by rendezvous hashing: every process gets the same order without coordination. */
 function rankByHash (prefix: string, pool: readonly list.Upstream[]): list.Upstream[] {
   const scored = pool.map((upstream) => ({ upstream, score: hashText.hashText(prefix + upstream.listed.id) }))
   return scored.sort((a, b) => b.score - a.score).map(({ upstream }) => upstream)
 }
 
-/** Those that nothing speaks against; failing that, those that are merely full or suspected, then all. */
+/** Upstreams that are neither failing, ejected nor full; if there are none, those that are only full; otherwise all. */
 function selectHealthiest (usable: readonly list.Upstream[], now: number): readonly list.Upstream[] {
   const healthy = usable.filter((upstream) => upstream.avoidUntil <= now && upstream.ejectedUntil <= now && upstream.fullUntil <= now)
   if (healthy.length > 0) return healthy
@@ -103,7 +107,7 @@
   return sum / Math.max(1, pool.length)
 }
 
-/** Requests of all processes as a share of the slots. */
+/** Load of an upstream: requests of all processes as a share of its slots. */
 function computeLoad (upstream: list.Upstream, input: Pick<ChooseInput, 'othersRunning'>): number {
   return (upstream.running + input.othersRunning(upstream.listed.id)) / Math.max(1, upstream.listed.slots)
 }
@@ -120,7 +124,7 @@
   return best
 }
 
-/** Some of the pool in random order; all of a small one. */
+/** Samples up to `sampleSize` upstreams at random, without repetition. */
 function sampleUpstreams (pool: readonly list.Upstream[], random: () => number): list.Upstream[] {
   const remaining = [...pool]
   const sample: list.Upstream[] = []
--- a/packages/decide/track-upstreams/src/find-outliers.test.ts
+++ b/packages/decide/track-upstreams/src/find-outliers.test.ts
@@ -5,7 +5,7 @@
 
 const service = 'orders' as types.ServiceId
 
-/** Upstreams of one service and a seeded generator, for loads that repeat. */
+/** Upstreams of one service and a seeded random generator, so that loads are reproducible. */
 function createFixture (count: number, seed: number) {
   const upstreams = new upstreamList.UpstreamList()
   for (let index = 0; index < count; index += 1) {
@@ -22,18 +22,18 @@
 interface Load {
   readonly upstreamCount: number
   readonly processCount: number
-  /** Requests a second of all processes. */
+  /** Requests per second of all processes together. */
   readonly requestsPerSecond: number
   readonly seconds: number
-  /** Share of the requests at an upstream that bear a mark. */
+  /** Share of the requests to an upstream that get a mark. */
   readonly markedShare: (upstream: number) => number
   readonly mark: findOutliers.Mark
 }
 
-/** Nothing is marked in the first time of a play, in ms: until then a process knows too little of its own load. */
+/** Time at the start of a simulation without marks, in ms: until then a process knows too little of its own request rate. */
 const warmUpMs = 3_000
 
-/** Plays a load as one process sees it: its own requests, and the marks of all. */
+/** Simulates a load as one process sees it: its own requests and the marks of all processes. */
 function simulateLoad (load: Load, seed = 1) {
   const { upstreams, random, finder } = createFixture(load.upstreamCount, seed)
   const ejected: { upstream: number, atMs: number }[] = []
@@ -54,7 +54,7 @@
 
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8]
 
-tap.test('upstreams that fail nearly half of their requests are found within two and a half seconds', (t) => {
+tap.test('upstreams that fail nearly half of their requests are ejected within 2.5 seconds', (t) => {
   for (const seed of seeds) {
     const { ejected, lostCount } = simulateLoad({ upstreamCount: 71, processCount: 29, requestsPerSecond: 900, seconds: 5, markedShare: (at) => at < 10 ? 0.45 : 0, mark: 'failed' }, seed)
     t.equal(new Set(ejected.filter(({ atMs }) => atMs < 2_500).map(({ upstream }) => upstream)).size, 10, `seed ${seed}`)
@@ -63,7 +63,7 @@
   t.end()
 })
 
-tap.test('the same at a fraction of the load', (t) => {
+tap.test('upstreams that fail nearly half of their requests are ejected at a fraction of the load', (t) => {
   for (const seed of seeds) {
     const { ejected } = simulateLoad({ upstreamCount: 24, processCount: 29, requestsPerSecond: 60, seconds: 6, markedShare: (at) => at < 3 ? 0.45 : 0, mark: 'failed' }, seed)
     t.ok(new Set(ejected.map(({ upstream }) => upstream)).size >= 2, `seed ${seed}`)
@@ -72,7 +72,7 @@
   t.end()
 })
 
-tap.test('a few lost answers everywhere eject hardly anything', (t) => {
+tap.test('occasional lost responses at many upstreams eject at most two', (t) => {
   for (const seed of seeds) {
     const { ejected } = simulateLoad({ upstreamCount: 71, processCount: 29, requestsPerSecond: 900, seconds: 5, markedShare: (at) => at < 42 ? 0.055 : 0, mark: 'failed' }, seed)
     t.ok(ejected.length <= 2, `seed ${seed}: ${ejected.length}`)
@@ -80,7 +80,7 @@
   t.end()
 })
 
-tap.test('where all upstreams lag, none is ejected', (t) => {
+tap.test('at most one upstream is ejected when all of them are slow', (t) => {
   for (const seed of seeds) {
     const { ejected } = simulateLoad({ upstreamCount: 24, processCount: 29, requestsPerSecond: 450, seconds: 6, markedShare: () => 0.7, mark: 'slow' }, seed)
     t.ok(ejected.length <= 1, `seed ${seed}: ${ejected.length}`)
@@ -88,7 +88,7 @@
   t.end()
 })
 
-tap.test('at most a third of a service is ejected at a time', (t) => {
+tap.test('at most a third of the upstreams of a service are ejected at a time', (t) => {
   const { upstreams, finder } = createFixture(6, 1)
   for (const id of ['u0', 'u1', 'u2', 'u3']) {
     for (let count = 0; count < 6; count += 1) finder.applyReport({ upstream: id as types.UpstreamId, mark: 'failed', count: 1 }, 1, 0)
--- a/packages/decide/track-upstreams/src/find-outliers.ts
+++ b/packages/decide/track-upstreams/src/find-outliers.ts
@@ -1,54 +1,59 @@
 /**
- * Finds upstreams that fail or lag far more often than is usual, from what all processes report. Each process alone
- * sees too few requests of one upstream: at one in two seconds, a fault of 45 in 100 takes it several lost requests to
- * notice; with all reports it takes the whole fleet about as many as one process alone.
+ * Outlier detection: finds upstreams that fail or are slow far more often than the others of their service, from the
+ * reports of all processes. A single process sees too few requests to one upstream: at one request every two seconds
+ * and a failure rate of 45%, each process would lose several requests before noticing. With shared reports the whole
+ * fleet loses about as many requests as one process would alone.
  */
 import type * as types from '@eelgrasswind/types'
 import type * as list from './upstream-list.js'
 
-/** What went wrong with one request at an upstream. */
+/** A bad outcome of one request to an upstream. */
 export type Mark =
-  /** No usable answer came. */
+  /** No usable response was received. */
   | 'failed'
-  /** The answer took a multiple of the usual time. */
+  /** The response took a multiple of the typical time. */
   | 'slow'
 
-/** Marks by upstream, as processes tell one another. */
+/** A number of marks of one upstream, as processes report them to one another. */
 export interface MarkReport {
   readonly upstream: types.UpstreamId
   readonly mark: Mark
   readonly count: number
 }
 
-/** An upstream that new requests avoid for a while. */
+/** An upstream that is excluded from new requests for a time. */
 export interface Ejection {
   readonly upstream: types.UpstreamId
   readonly mark: Mark
-  /** Marks and requests that decided it, decayed over the window. */
+  /** Marks and estimated requests that caused the ejection, decayed over the window. */
   readonly marks: number
   readonly requests: number
   readonly forMs: number
 }
 
-/** Marks and requests fade with this time constant, in ms: some requests of every upstream, yet within a fault of 5 s. */
+/** Time constant of the decay of marks and requests, in ms: long enough to cover some requests to every upstream, short enough for a fault of 5 s. */
 const windowMs = 2_000
-/** One mark may be chance: of 71 upstreams that lose 4 in 100 of their answers, one in 25 shows two within the window. */
+/** A single mark may be chance: of 71 upstreams that lose 4% of their responses, one in 25 has two marks within the window. */
 const minMarks = 2
 /**
- * Share of an upstream's requests that must bear a mark. Upstreams that lose some answers lose up to 6 in 100; faulty
- * ones fail 40 and more. One call in 20 takes three times the mean by chance, of an upstream five times slower every second.
+ * Minimum share of an upstream's requests with a mark. Upstreams with occasional losses fail up to 6% of their requests,
+ * faulty ones 40% and more. By chance one request in 20 takes three times the mean; at an upstream that is five times
+ * slower it is every second request.
  */
 const minMarkedShare: Readonly<Record<Mark, number>> = { failed: 0.2, slow: 0.35 }
-/** Beyond that it must bear this many times the marks of the usual upstream: where all lag, the service has too much to do. */
+/** It must also have this multiple of the mean marks of its service: if all upstreams are slow, the service is overloaded. */
 const minExcessFactor = 2
-/** The first ejection, in ms; each further one within `forgetMs` doubles it: longer than what a trial costs, two or three requests. */
+/**
+ * Duration of the first ejection, in ms. Each further one within `ejectionMemoryMs` doubles it, since every return of a
+ * faulty upstream costs two or three requests.
+ */
 const initialEjectionMs = 1_500
 const maxEjectionMs = 6_000
 const ejectionMemoryMs = 10_000
-/** No more than this share of a service is ejected: beyond it the fault is not that of single upstreams. */
+/** Maximum share of the upstreams of a service that are ejected at a time: if more look bad, the cause is not a single upstream. */
 const maxEjectedShare = 0.34
 
-/** A count that fades. */
+/** A counter with exponential decay. */
 class DecayingCount {
   private value = 0
   private updatedAt = 0
@@ -76,21 +81,21 @@
   lastEjectedAt: number
 }
 
-/** Counts marks and requests and decides who is ejected. Times are monotonic ms. */
+/** Counts marks and requests and decides which upstreams are ejected. Times are monotonic ms. */
 export class OutlierDetector {
   private readonly states = new Map<types.UpstreamId, UpstreamState>()
   private readonly services = new Map<types.ServiceId, ServiceCounts>()
 
   constructor (private readonly upstreams: list.UpstreamList) {}
 
-  /** This process has sent a request to the service. */
+  /** Counts a request that this process sent to the service. */
   countRequest (service: types.ServiceId, now: number): void {
     this.getOrCreateCounts(service).sent.add(1, now)
   }
 
   /**
-   * Counts marks of this or another process. Processes: how many send to the service, this one included; they are
-   * taken to send as much as this one does. Returns the ejection that this brings about, if any.
+   * Counts marks reported by this or another process and returns the ejection that they cause, if any. `processCount`
+   * is the number of processes that send to the service, this one included; each is assumed to send as much as this one.
    */
   applyReport (report: MarkReport, processCount: number, now: number): Ejection | undefined {
     const upstream = this.upstreams.get(report.upstream)
@@ -103,7 +108,7 @@
     if (upstream.ejectedUntil > now) return undefined
     const marks = state.marks[report.mark].get(now)
     const upstreamCount = Math.max(1, this.upstreams.getByService(service).length)
-    // What one upstream of the service gets, and the marks it would bear if it were like all others.
+    // The expected requests and marks of an average upstream of the service.
     const requests = counts.sent.get(now) * processCount / upstreamCount
     const expectedMarks = counts.marks[report.mark].get(now) / upstreamCount
     if (marks < minMarks + expectedMarks * minExcessFactor || marks < requests * minMarkedShare[report.mark]) return undefined
@@ -137,7 +142,7 @@
     return state
   }
 
-  /** Every start of an upstream has an id of its own: without this they would add up. */
+  /** Every start of an upstream has a new id, so that the state of former ones has to be removed. */
   private removeUnlisted (): void {
     for (const id of this.states.keys()) {
       if (this.upstreams.get(id) === undefined) this.states.delete(id)
--- a/packages/decide/track-upstreams/src/index.ts
+++ b/packages/decide/track-upstreams/src/index.ts
@@ -1,4 +1,4 @@
-/** Which upstreams of a service are live, what this process has running there, and which one takes the next request. */
+/** Tracks the upstreams of each service, the requests in flight at them and their health, and selects the one for the next request. */
 export * from './upstream-list.js'
 export * from './choose-upstream.js'
 export * from './peer-loads.js'
--- a/packages/decide/track-upstreams/src/peer-loads.test.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.test.ts
@@ -6,7 +6,7 @@
 
 const id = (name: string) => name as types.UpstreamId
 
-tap.test('the latest report of each peer counts, until it is too old', (t) => {
+tap.test('the latest report of each peer counts until it expires', (t) => {
   const loads = new peerLoads.PeerLoads()
   loads.applyReport('p', new Map([[id('a'), 3], [id('b'), 1]]), 0)
   loads.applyReport('q', new Map([[id('a'), 2]]), 1_000)
@@ -18,7 +18,7 @@
   t.end()
 })
 
-tap.test('sums agree with the reports whatever their order', (t) => {
+tap.test('the sums match the current reports in any order of reports', (t) => {
   const report = fc.record({ peer: fc.constantFrom('p', 'q', 'r'), counts: fc.uniqueArray(fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.integer({ min: 1, max: 9 })), { selector: ([name]) => name }), waitMs: fc.nat(1_800) })
   fc.assert(fc.property(fc.array(report), (reports) => {
     const loads = new peerLoads.PeerLoads()
@@ -40,13 +40,13 @@
   t.end()
 })
 
-tap.test('usual times are learnt from what is usual, and slow answers hardly move them', (t) => {
+tap.test('typical latencies are learned from responses, and slow responses hardly change them', (t) => {
   const latencies = new typicalLatencies.TypicalLatencies()
   for (let count = 0; count < 200; count += 1) latencies.observe('r', 80, 400)
   t.ok(Math.abs(latencies.get('r')! - 80) < 1)
   t.equal(latencies.observe('r', 200, 400), false)
   t.equal(latencies.observe('r', 400, 400), true)
   t.ok(latencies.get('r')! < 100)
-  t.equal(latencies.observe('fast', 100, 10), false, 'below what a pause of ours takes')
+  t.equal(latencies.observe('fast', 100, 10), false, 'shorter than the pauses of our own processes')
   t.end()
 })
--- a/packages/decide/track-upstreams/src/peer-loads.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.ts
@@ -1,10 +1,10 @@
 /**
- * What the other processes have running at each upstream, from what they report. A process sees only its own share of
- * an upstream's load: with 29 processes before 24 upstreams of 8 slots, that is about one request in 29.
+ * Sums up the requests that other processes report to have in flight at each upstream. A process sees only its own
+ * share of an upstream's load: with 29 processes in front of 24 upstreams of 8 slots, about one request in 29.
  */
 import type * as types from '@eelgrasswind/types'
 
-/** Requests that one process has running, by upstream; upstreams without any are left out. */
+/** Requests that one process has in flight, by upstream; upstreams without any are omitted. */
 export type RunningCounts = ReadonlyMap<types.UpstreamId, number>
 
 interface PeerReport {
@@ -12,15 +12,15 @@
   receivedAt: number
 }
 
-/** A report older than this, in ms, says nothing any more: several reports were lost, or the process has ended. */
+/** A report older than this, in ms, is stale: several later reports were lost, or the process has ended. */
 const reportTtlMs = 3_000
 
-/** The latest report of each peer, and their sums. */
+/** Keeps the latest report of each peer and the sums over all peers. */
 export class PeerLoads {
   private readonly reports = new Map<string, PeerReport>()
   private readonly sums = new Map<types.UpstreamId, number>()
 
-  /** Takes the report of one peer in place of its former one. Monotonic ms. */
+  /** Replaces the previous report of a peer; `now`: monotonic ms. */
   applyReport (peer: string, counts: RunningCounts, now: number): void {
     const previous = this.reports.get(peer)
     if (previous !== undefined) this.add(previous.counts, -1)
@@ -28,7 +28,7 @@
     this.reports.set(peer, { counts, receivedAt: now })
   }
 
-  /** Forgets the reports of peers that have fallen silent. */
+  /** Drops reports that are too old. */
   expire (now: number): void {
     for (const [peer, { counts, receivedAt }] of this.reports) {
       if (now - receivedAt <= reportTtlMs) continue
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Peers whose reports count. */
+  /** Peers with a current report. */
   get peers (): Iterable<string> {
     return this.reports.keys()
   }
@@ -46,7 +46,7 @@
     return this.reports.size
   }
 
-  /** Requests that other processes have running there. */
+  /** Requests that other processes have in flight at the upstream. */
   getRunning (upstream: types.UpstreamId): number {
     return this.sums.get(upstream) ?? 0
   }
--- a/packages/decide/track-upstreams/src/typical-latencies.ts
+++ b/packages/decide/track-upstreams/src/typical-latencies.ts
@@ -1,26 +1,26 @@
-/** What each kind of request usually takes, learnt from answers, so that slow ones can be told. */
+/** Learns the typical latency of each route from its responses, to recognize slow ones. */
 
-/** Weight of one answer in the mean: some forty answers until it is learnt, whatever it began with. */
+/** Weight of the newest response in the mean: it converges within about forty responses from any initial value. */
 const newestWeight = 0.05
-/** An answer that takes this many times the usual is slow: by chance about one in twenty, where times are exponential. */
+/** A response that takes this multiple of the mean is slow: about one in twenty by chance if latencies are exponentially distributed. */
 const slowFactor = 3
-/** Nothing below this, in ms, is called slow: pauses of our own processes take as long. */
+/** Responses below this time, in ms, never count as slow: pauses of our own processes take as long. */
 const minSlowMs = 120
 
-/** Running means by name of the route. */
+/** Running mean latencies by route name. */
 export class TypicalLatencies {
   private readonly meanMsByRoute = new Map<string, number>()
 
-  /** Takes the time of one answer in; returns whether it was slow against the mean before. Initial: the time to begin with. All in ms. */
+  /** Records the latency of a response and returns whether it was slow compared with the previous mean, which starts as `initialMeanMs`. All in ms. */
   observe (route: string, latencyMs: number, initialMeanMs: number): boolean {
     const mean = this.meanMsByRoute.get(route) ?? initialMeanMs
     const slowLimitMs = mean * slowFactor
-    // One answer moves the mean by no more than what still counts as usual.
+    // Caps the latency at the limit for slow ones, so that outliers hardly move the mean.
     this.meanMsByRoute.set(route, mean + newestWeight * (Math.min(latencyMs, slowLimitMs) - mean))
     return latencyMs > Math.max(slowLimitMs, minSlowMs)
   }
 
-  /** The usual time in ms; `undefined` before the first answer. */
+  /** The mean latency in ms; `undefined` before the first response. */
   get (route: string): number | undefined {
     return this.meanMsByRoute.get(route)
   }
--- a/packages/decide/track-upstreams/src/upstream-list.ts
+++ b/packages/decide/track-upstreams/src/upstream-list.ts
@@ -1,45 +1,45 @@
-/** The upstreams of every service as this process believes them, with what it has running there. */
+/** Keeps the upstreams of every service with their health and in-flight requests, as seen by this process. */
 import type * as types from '@eelgrasswind/types'
 
-/** What the list of upstreams says of one incarnation. */
+/** The entry of one incarnation of an upstream in the upstream list. */
 export interface ListedUpstream {
-  /** The incarnation: what is believed of one says nothing of the next, also where it has the same name. */
+  /** Identifies the incarnation: health state does not carry over to the next one, even if it has the same name. */
   readonly id: types.UpstreamId
-  /** The upstream's own name, which it may keep over restarts. */
+  /** The upstream's own name, which may stay the same across restarts. */
   readonly name: string
   readonly service: types.ServiceId
   readonly address: string
-  /** Requests that it runs at once. */
+  /** Requests that it runs concurrently. */
   readonly slots: number
   readonly leaving: boolean
 }
 
-/** An upstream with this process's own view of it. */
+/** An upstream with the state that this process keeps of it. */
 export interface Upstream {
   listed: ListedUpstream
-  /** Requests of this process that run there now. */
+  /** Requests of this process that are in flight at the upstream. */
   running: number
-  /** Failed connections and broken answers in a row. */
+  /** Consecutive failed connections and interrupted responses. */
   failures: number
-  /** Nothing is sent there before this time unless there is no other, monotonic ms. */
+  /** End of the backoff after failures, monotonic ms; before it the upstream is used only if there is no other. */
   avoidUntil: number
-  /** When anything last came from it, monotonic ms. */
+  /** When data was last received from it, monotonic ms. */
   lastActivityAt: number
-  /** It fails or lags far more often than the rest of its service: avoided until this time, monotonic ms. */
+  /** End of its ejection by outlier detection, monotonic ms. */
   ejectedUntil: number
-  /** It said that it was full; believed until this time, monotonic ms. */
+  /** Until when it counts as full after it reported a full queue, monotonic ms. */
   fullUntil: number
 }
 
-/** First pause after a failure; doubles with each further one. Long enough that a crashed upstream costs few tries. */
+/** Backoff after the first failure, in ms; doubles with each further one. Long enough that a crashed upstream costs few attempts. */
 const initialBackoffMs = 150
 const maxBackoffMs = 2_400
-/** Pause after a silence, in ms: a host without power is off the list in about 4 s, and each try costs a client 2 s. */
+/** Backoff after a request without any response, in ms: a host without power is off the list in about 4 s, and each attempt costs a client 2 s. */
 const unresponsiveBackoffMs = 2_000
-/** A full upstream frees a slot within about one request; asking again sooner is mostly in vain. */
+/** Backoff after a full queue, in ms: a slot becomes free after about one request, and earlier attempts mostly fail. */
 const queueFullBackoffMs = 40
 
-/** Finds upstreams by id and by service. An incarnation that changes its service starts anew. */
+/** Indexes upstreams by id and by service. The state of an incarnation is reset when its service changes. */
 export class UpstreamList {
   private readonly upstreams = new Map<types.UpstreamId, Upstream>()
   private readonly services = new Map<types.ServiceId, Upstream[]>()
@@ -82,30 +82,30 @@
   }
 }
 
-/** A connection failed or an answer broke off. */
+/** Records a failed connection or an interrupted response. */
 export function noteFailure (upstream: Upstream, now: number): void {
   upstream.failures += 1
   const backoffMs = Math.min(maxBackoffMs, initialBackoffMs * 2 ** (upstream.failures - 1))
   upstream.avoidUntil = now + backoffMs
 }
 
-/** Nothing at all came from the upstream for so long that its host is likely gone. */
+/** Records that the upstream sent nothing for so long that its host is likely down. */
 export function noteUnresponsive (upstream: Upstream, now: number): void {
   upstream.failures += 1
   upstream.avoidUntil = now + unresponsiveBackoffMs
 }
 
-/** Something came from the upstream. */
+/** Records that data was received from the upstream. */
 export function noteActivity (upstream: Upstream, now: number): void {
   upstream.lastActivityAt = now
 }
 
-/** The upstream refused since its queue is full. */
+/** Records that the upstream refused a request because its queue is full. */
 export function noteQueueFull (upstream: Upstream, now: number): void {
   upstream.fullUntil = now + queueFullBackoffMs
 }
 
-/** A whole answer came: pauses end, and the next failure starts with the shortest. */
+/** Records a complete response: ends the backoff and resets it to the shortest one. */
 export function noteSuccess (upstream: Upstream): void {
   upstream.failures = 0
   upstream.avoidUntil = 0
