--- a/packages/decide/meter-account/src/account-estimate.ts
+++ b/packages/decide/meter-account/src/account-estimate.ts
@@ -1,34 +1,34 @@
 /**
- * A host's side: what it believes is left of an account's limit. While there is plenty it lets requests through unasked
- * and reports them soon after; near the limit it asks the owner first. So an account well below its limit waits for
- * nobody, and one at its limit is counted exactly.
+ * The host's side: its estimate of what is left of an account's limit. While enough is left, the host admits requests
+ * by itself and reports them afterwards; near the limit it asks the owner first. An account well below its limit thus
+ * gets no extra latency, and one at its limit is counted exactly.
  */
 import * as accountMeter from './account-meter.js'
 import type * as meterRegistry from './meter-registry.js'
 
-/** Plain state; replaced, never changed. */
+/** Immutable state; every operation returns a new object. */
 export interface AccountEstimate {
-  /** As the owner last said, and the term in which it did. */
+  /** The meter as last confirmed by the owner. `term` is the ownership term of that answer. */
   readonly confirmed: accountMeter.AccountMeter
   readonly term: number
-  /** The same, less what was let through here since. */
+  /** The confirmed meter less the requests that this host admitted since. */
   readonly meter: accountMeter.AccountMeter
-  /** Let through here and not reported yet. */
+  /** Requests that this host admitted and has not reported yet. */
   readonly unreported: accountMeter.RequestCounts
 }
 
-/** Requests go unasked while this share of the capacity is left: what all hosts together send before they hear of one another. */
+/** A host admits requests without asking while this share of the capacity is left. It covers what all hosts together send between two reports. */
 const unaskedCapacityShare = 0.35
 
-/** The belief after an answer of the owner; since: what was let through after the report that it answers. */
+/** Creates an estimate from an answer of the owner; `unreported`: requests admitted after the report that it answers. */
 export function createEstimate (limit: accountMeter.MeterLimit, answer: meterRegistry.MeterAnswer, unreported: accountMeter.RequestCounts, now: number): AccountEstimate {
   const confirmed = accountMeter.createMeter(limit, answer.state, now)
   return { confirmed, term: answer.term, meter: accountMeter.spend(confirmed, unreported), unreported }
 }
 
 /**
- * Whether a request may be sent without asking. The first of a program never is: it stands for many, and hosts that let
- * programs in at the same moment would add up.
+ * Whether a request may be sent without asking the owner. Never true for the first request of a program: many more
+ * follow it, and programs that several hosts admit at the same time could exceed the limit together.
  */
 export function canSendUnasked (estimate: AccountEstimate, position: accountMeter.RequestPosition): boolean {
   if (position === 'first') return false
@@ -36,18 +36,21 @@
   return accountMeter.computeHeadroom(meter, position) >= unaskedCapacityShare * accountMeter.computeCapacity(meter.limit)
 }
 
-/** Counts a request that was let through here, or takes one back that did not run (`by` -1). */
+/** Counts a request that this host admitted, or takes back one that did not run (`delta` -1). */
 export function countRequest (estimate: AccountEstimate, position: accountMeter.RequestPosition, delta: 1 | -1): AccountEstimate {
   const counts = { ...accountMeter.noRequests, [position]: delta }
   return { ...estimate, meter: accountMeter.spend(estimate.meter, counts), unreported: addCounts(estimate.unreported, counts) }
 }
 
-/** What the owner would have said at a time, in monotonic ms, had nobody sent anything since. */
+/** The confirmed state extrapolated to `now`, in monotonic ms, as if nothing had been sent since. */
 export function computeConfirmedState (estimate: AccountEstimate, now: number): accountMeter.MeterState {
   return accountMeter.toState(accountMeter.refillMeter(estimate.confirmed, now))
 }
 
-/** The meter of a host that counts by itself: its share of the limit, and of what was left when the owner was last heard, monotonic ms. */
+/**
+ * Creates the meter that a host uses while the owner is unreachable: its share of the limit and of what was left when
+ * the owner last answered (`lastAnswerAt`, monotonic ms).
+ */
 export function createFallbackMeter (limit: accountMeter.MeterLimit, estimate: AccountEstimate | undefined, hostCount: number, lastAnswerAt: number, now: number): accountMeter.AccountMeter {
   const ownLimit = divideLimit(limit, hostCount)
   if (estimate === undefined) return accountMeter.createMeter(ownLimit, accountMeter.createState(accountMeter.computeInitialLevel(ownLimit)), now)
@@ -56,18 +59,16 @@
   return accountMeter.createMeter(ownLimit, { ...state, level: state.level * share, uncommitted: state.uncommitted * share }, now)
 }
 
-/** The part of a limit that one of so many hosts may use by itself while nobody counts for all: together they stay within it. */
+/** Divides a limit evenly among hosts, so that together they stay within it while there is no owner. */
 export function divideLimit (limit: accountMeter.MeterLimit, hostCount: number): accountMeter.MeterLimit {
   const share = 1 / Math.max(1, hostCount)
   return { requestsPerSecond: limit.requestsPerSecond * share, burst: limit.burst * share, slack: limit.slack * share }
 }
 
-/** Both together. */
 export function addCounts (a: accountMeter.RequestCounts, b: accountMeter.RequestCounts): accountMeter.RequestCounts {
   return { first: a.first + b.first, further: a.further + b.further }
 }
 
-/** Whether there is nothing to report. */
 export function isZero (counts: accountMeter.RequestCounts): boolean {
   return counts.first === 0 && counts.further === 0
 }
--- a/packages/decide/meter-account/src/account-meter.ts
+++ b/packages/decide/meter-account/src/account-meter.ts
@@ -1,104 +1,102 @@
 /**
- * Two token buckets for the requests of one client account: one counts each request as it is sent, the other charges a
- * program with all that it is likely to send when it begins. It answers an account that sends more than its limit:
- * without it all of its programs begin and each loses some request in the middle; with it as many programs as the limit
- * holds go through whole, and the rest are told at their first request when to come back.
+ * Two token buckets for the requests of one client account. One is charged for each request as it is sent, the other
+ * for all expected requests of a program when it begins. With the first bucket alone, an account above its limit would
+ * start all of its programs, and each would have some request refused in the middle. With both, as many programs as the
+ * limit allows run completely, and the others are refused at their first request with a retry-after time.
  */
 
-/** A limit in force. */
+/** An account's limit. */
 export interface MeterLimit {
   readonly requestsPerSecond: number
-  /** Requests that may be sent at once after a quiet time. */
+  /** Requests that may be sent at once after an idle time. */
   readonly burst: number
-  /** Requests beyond the limit that the operator tolerates in a short time. */
+  /** Requests above the limit that the operator tolerates within a short time. */
   readonly slack: number
 }
 
-/** Where a request stands in its program. */
+/** Position of a request in its program. */
 export type RequestPosition =
-  /** The first of a program: many more follow if it is let in. */
+  /** The first request of a program: many more follow if it is admitted. */
   | 'first'
-  /** Anything else: refusing it may cost a program that is nearly done. */
+  /** Any other request: refusing it may fail a program that is nearly done. */
   | 'further'
 
-/** Requests by their part. */
+/** Numbers of requests by position. */
 export type RequestCounts = Readonly<Record<RequestPosition, number>>
 
-/** What is known of an account at one time, as hosts tell one another. */
+/** State of an account at one time, as exchanged between hosts. */
 export interface MeterState {
-  /** Requests that may be sent now; below 0 where more were sent than there were. */
+  /** Requests that may be sent now; negative if more were sent than allowed. */
   readonly level: number
-  /** Requests that are left for new programs once those that have begun are paid in full. */
+  /** Requests left for new programs after the expected requests of all started ones are deducted. */
   readonly uncommitted: number
-  /** Programs that began so lately that most of their requests are still to come: they say nothing yet of what a program takes. */
+  /** Recently started programs, most of whose requests are still to come; not yet counted in `recent`. */
   readonly young: number
-  /** Lately counted programs and their requests: what a program takes in all. */
+  /** Recent programs and their requests, from which the mean requests per program are computed. */
   readonly recent: RequestCounts
 }
 
-/** Plain state; replaced, never changed. */
+/** Immutable state of the two buckets; every operation returns a new object. */
 export interface AccountMeter extends MeterState {
   readonly limit: MeterLimit
   /** Monotonic ms. */
   readonly updatedAt: number
 }
 
-/** No requests. */
 export const noRequests: RequestCounts = { first: 0, further: 0 }
 
-/** One request. */
 export function createSingleCount (position: RequestPosition): RequestCounts {
   return { ...noRequests, [position]: 1 }
 }
 
-/** The part of the slack that a quiet account gets on top of its burst. */
+/** Share of the slack that is added to the burst of an idle account. */
 const burstSlackShare = 0.25
-/** The part of it by which requests of programs under way may go beyond the limit. The rest covers what hosts learn late. */
+/** Share of the slack by which requests of running programs may exceed the limit. The rest covers requests that are reported late. */
 const debtSlackShare = 0.5
-/** What a program takes before any was seen to end, in requests. */
+/** Expected requests per program while none has been observed. */
 const initialRequestsPerProgram = 10
-/** Programs that the preset weighs as much as. */
+/** Weight of that initial value, in programs. */
 const initialProgramWeight = 1
-/** Half to two thirds of a program's time, in ms: the pace at which programs come to be counted. */
+/** Time constant with which started programs move from `young` to `recent`, in ms: half to two thirds of a program's duration. */
 const youngDecayMs = 1_500
-/** Pace at which counts of requests are forgotten, in ms. */
+/** Time constant of the decay of `recent`, in ms. */
 const recentDecayMs = 10_000
-/** Bounds of the time to come back, in ms: a limit that is empty now is worth another question soon, and none waits for minutes. */
+/** Bounds of the retry-after time, in ms: an exhausted limit is soon worth another attempt, and no caller should wait for minutes. */
 const minWaitMs = 100
 const maxWaitMs = 5_000
 
-/** The most that a quiet account may send at once. */
+/** The maximum that an idle account may send at once. */
 export function computeCapacity (limit: MeterLimit): number {
   return Math.max(1, limit.burst + limit.slack * burstSlackShare)
 }
 
-/** A meter of which no more is known than how many requests are left. */
+/** Creates a state from the number of requests left alone. */
 export function createState (level: number): MeterState {
   return { level, uncommitted: level, young: 0, recent: noRequests }
 }
 
-/** A meter that goes on from what is known; now: monotonic ms. */
+/** Creates a meter from a known state; `now`: monotonic ms. */
 export function createMeter (limit: MeterLimit, { level, uncommitted, young, recent }: MeterState, now: number): AccountMeter {
   return applyLimit({ limit, level, uncommitted, young, recent, updatedAt: now }, limit)
 }
 
-/** What hosts and owners tell one another of a meter. */
+/** Extracts the state that hosts and owners exchange. */
 export function toState ({ level, uncommitted, young, recent }: AccountMeter): MeterState {
   return { level, uncommitted, young, recent }
 }
 
-/** The level that an account starts with where nobody knows what it has sent: a second's worth, as a restart takes longer. */
+/** Initial level of an account whose usage is unknown: the requests of one second, since a restart takes longer than that. */
 export function computeInitialLevel (limit: MeterLimit): number {
   return Math.min(computeCapacity(limit), limit.requestsPerSecond + limit.slack * burstSlackShare)
 }
 
-/** Another limit is in force. */
+/** Replaces the limit and caps both levels at its capacity. */
 export function applyLimit (meter: AccountMeter, limit: MeterLimit): AccountMeter {
   const capacity = computeCapacity(limit)
   return { ...meter, limit, level: Math.min(meter.level, capacity), uncommitted: Math.min(meter.uncommitted, capacity) }
 }
 
-/** Adds what has become free since. */
+/** Refills both buckets for the time since the last update, and decays the counts. */
 export function refillMeter (meter: AccountMeter, now: number): AccountMeter {
   const { limit, level, uncommitted, young, recent } = meter
   const capacity = computeCapacity(limit)
@@ -116,7 +114,7 @@
   }
 }
 
-/** Counts requests that were let through. Negative counts take some back that did not run. */
+/** Charges admitted requests. Negative counts take back requests that did not run. */
 export function spend (meter: AccountMeter, counts: RequestCounts): AccountMeter {
   const { first, further } = counts
   return {
@@ -128,22 +126,22 @@
   }
 }
 
-/** Requests that a program takes from its first to its last, as lately seen. */
+/** Mean requests per program, as recently observed. */
 function computeRequestsPerProgram (meter: AccountMeter): number {
   const { first, further } = meter.recent
   return (initialRequestsPerProgram * initialProgramWeight + first + further) / (initialProgramWeight + first)
 }
 
 /**
- * How many requests a part has to spare, a filled meter taken for granted: at 0 or above the next one may be sent. The
- * last program that begins may be charged beyond what is left, so that small accounts get theirs as well.
+ * How many further requests at a position the meter allows; at 0 or above the next one may be sent. Expects a refilled
+ * meter. The last admitted program may be charged more than is left, so that accounts with small limits can start one too.
  */
 export function computeHeadroom (meter: AccountMeter, position: RequestPosition): number {
   const { limit, level, uncommitted } = meter
   return position === 'further' ? level - 1 + limit.slack * debtSlackShare : Math.min(level - 1, uncommitted)
 }
 
-/** When a part that has no room now will have some if nobody else asks, in ms. */
+/** Time until the next request at a position would be allowed if nothing else is sent, in ms, within bounds. */
 export function computeWaitMs (meter: AccountMeter, position: RequestPosition): number {
   const { requestsPerSecond } = meter.limit
   const waitMs = requestsPerSecond > 0 ? -computeHeadroom(meter, position) / requestsPerSecond * 1_000 : maxWaitMs
--- a/packages/decide/meter-account/src/index.ts
+++ b/packages/decide/meter-account/src/index.ts
@@ -1,4 +1,4 @@
-/** Counts the requests of a client account against its limit, in whole programs: the owner's side and the hosts' side. Pure. */
+/** Rate limiting of client accounts by whole programs: the state of the owner of an account and of the hosts that report to it. Pure. */
 export * from './account-meter.js'
 export * from './meter-registry.js'
 export * from './account-estimate.js'
--- a/packages/decide/meter-account/src/meter-account.test.ts
+++ b/packages/decide/meter-account/src/meter-account.test.ts
@@ -14,20 +14,20 @@
   return { account, limit, spent: none, asked: none, ...overrides }
 }
 
-/** What an account has after so many requests at once. */
+/** The level of an account after it sent a number of requests. */
 function spendAndGetLevel (book: meterRegistry.MeterRegistry, count: number, now: number, term = 1): number {
   return book.applyReport(createReport({ spent: further(count) }), term, 1, now).state.level
 }
 
-tap.test('a meter fills at its rate up to its burst', (t) => {
+tap.test('a meter refills at its rate up to its burst', (t) => {
   const empty = accountMeter.createMeter(limit, accountMeter.createState(0), 0)
   t.equal(accountMeter.refillMeter(empty, 500).level, 50)
   t.equal(accountMeter.refillMeter(empty, 60_000).level, accountMeter.computeCapacity(limit))
-  t.equal(accountMeter.refillMeter(accountMeter.refillMeter(empty, 500), 400).level, 50, 'time that goes back adds nothing')
+  t.equal(accountMeter.refillMeter(accountMeter.refillMeter(empty, 500), 400).level, 50, 'a clock that goes back adds nothing')
   t.end()
 })
 
-tap.test('a program is charged with all that programs take when it begins', (t) => {
+tap.test('a program is charged for its expected requests when it begins', (t) => {
   let meter = accountMeter.createMeter(limit, accountMeter.createState(0), 0)
   for (let program = 0; program < 400; program += 1) {
     meter = accountMeter.spend(meter, first(1))
@@ -36,22 +36,22 @@
   const before = meter.uncommitted
   const after = accountMeter.spend(meter, first(1))
   t.ok(Math.abs(before - after.uncommitted - 25) < 1, `${before - after.uncommitted} requests`)
-  t.equal(accountMeter.spend(after, further(1)).uncommitted, after.uncommitted, 'what follows is paid for')
+  t.equal(accountMeter.spend(after, further(1)).uncommitted, after.uncommitted, 'its further requests are already charged')
   t.end()
 })
 
-tap.test('programs under way go on where new ones are told to wait', (t) => {
+tap.test('running programs continue while new ones are refused', (t) => {
   const registry = new meterRegistry.MeterRegistry()
   const answer = registry.applyReport(createReport({ asked: { first: 100, further: 40 } }), 1, 1, 0)
   t.equal(answer.granted.further, 40)
-  t.ok(answer.granted.first > 0 && answer.granted.first < 20, `${answer.granted.first} programs begin`)
+  t.ok(answer.granted.first > 0 && answer.granted.first < 20, `${answer.granted.first} programs admitted`)
   t.ok(answer.waitMs.first > 0)
   const next = registry.applyReport(createReport({ asked: { first: 5, further: 20 } }), 1, 1, 10)
   t.same(next.granted, { first: 0, further: 20 })
   t.end()
 })
 
-tap.test('the time to come back is true if nobody else asks', (t) => {
+tap.test('a retry after the given time is granted if nothing else was sent', (t) => {
   const book = new meterRegistry.MeterRegistry()
   const { waitMs } = book.applyReport(createReport({ spent: further(400) }), 1, 1, 0)
   const early = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further - 20)
@@ -61,7 +61,7 @@
   t.end()
 })
 
-tap.test('a lower limit holds at once, an older version of it does not come back', (t) => {
+tap.test('a lower limit applies at once, and a report with an older version does not restore the former one', (t) => {
   const book = new meterRegistry.MeterRegistry()
   const lowerLimit = { requestsPerSecond: 2, burst: 2, slack: 0 }
   t.equal(spendAndGetLevel(book, 0, 0), accountMeter.computeCapacity(limit))
@@ -70,7 +70,7 @@
   t.end()
 })
 
-tap.test('a new owner goes on from what the hosts were told, the lowest first of all', (t) => {
+tap.test('a new owner continues from the lowest state that hosts report', (t) => {
   const previous = new meterRegistry.MeterRegistry()
   const first = previous.applyReport(createReport(), 1, 1, 0)
   const second = previous.applyReport(createReport({ spent: further(90) }), 1, 1, 0)
@@ -82,7 +82,7 @@
   t.end()
 })
 
-tap.test('a lower limit, and a host that has not sent anything, charge nobody for what the limit was before', (t) => {
+tap.test('a lower limit, and the report of an idle host under it, do not lower the level below that limit', (t) => {
   const book = new meterRegistry.MeterRegistry()
   spendAndGetLevel(book, 60, 0)
   const lowerLimit = { requestsPerSecond: 10, burst: 10, slack: 0 }
@@ -90,18 +90,18 @@
   const { state } = book.applyReport(createReport({ limit: lowerLimit, believed: idleHostState }), 1, 2, 0)
   t.equal(state.level, 10)
   t.equal(state.uncommitted, 10)
-  t.equal(book.applyReport(createReport({ believed: { state: accountMeter.createState(2), term: 0 } }), 1, 1, 0).state.level, 10, 'a host with the former limit says nothing of this one')
+  t.equal(book.applyReport(createReport({ believed: { state: accountMeter.createState(2), term: 0 } }), 1, 1, 0).state.level, 10, 'a state under the former limit is ignored')
   t.end()
 })
 
-tap.test('an owner that comes back does not go by what it counted before', (t) => {
+tap.test('a process that becomes the owner again discards its former counts', (t) => {
   const book = new meterRegistry.MeterRegistry()
   spendAndGetLevel(book, 500, 0, 1)
   t.equal(spendAndGetLevel(book, 0, 10, 3), accountMeter.computeInitialLevel(limit))
   t.end()
 })
 
-tap.test('quiet accounts are forgotten', (t) => {
+tap.test('idle accounts are removed', (t) => {
   const book = new meterRegistry.MeterRegistry()
   spendAndGetLevel(book, 1, 0)
   book.prune(1_000)
@@ -111,7 +111,7 @@
   t.end()
 })
 
-tap.test('a host asks before a program begins and near the limit, and for nothing else', (t) => {
+tap.test('a host asks the owner only before a program begins and near the limit', (t) => {
   const answer = new meterRegistry.MeterRegistry().applyReport(createReport(), 1, 1, 0)
   let belief = accountEstimate.createEstimate(limit, answer, none, 0)
   t.notOk(accountEstimate.canSendUnasked(belief, 'first'))
@@ -125,7 +125,7 @@
   t.end()
 })
 
-tap.test('the shares of all hosts make up the limit', (t) => {
+tap.test('the shares of all hosts add up to the limit', (t) => {
   const share = accountEstimate.divideLimit(limit, 4)
   t.same(share, { requestsPerSecond: 25, burst: 25, slack: 5 })
   t.end()
--- a/packages/decide/meter-account/src/meter-registry.ts
+++ b/packages/decide/meter-account/src/meter-registry.ts
@@ -1,50 +1,50 @@
-/** The owner's side: the meters of the accounts that one process counts, and its answers to the hosts that send their requests. */
+/** The owner's side: the meters of the accounts that this process owns, and its answers to the reports of hosts. */
 import type * as types from '@eelgrasswind/types'
 import * as accountMeter from './account-meter.js'
 
-/** What a host reports of one account, and asks for. */
+/** A host's report for one account, with the requests for which it needs permission. */
 export interface MeterReport {
   readonly account: types.AccountId
   readonly limit: accountMeter.MeterLimit
-  /** Let through since its last report. */
+  /** Requests admitted since its last report. */
   readonly spent: accountMeter.RequestCounts
-  /** Wait at the host for a yes or a no. */
+  /** Requests that wait at the host for the owner's decision. */
   readonly asked: accountMeter.RequestCounts
   readonly believed?: ConfirmedState | undefined
 }
 
-/** What a host was told last, without what it let through since: all that an owner has who did not count before. */
+/** The state last confirmed to a host, without what it admitted since. A new owner has no other information. */
 export interface ConfirmedState {
   readonly state: accountMeter.MeterState
-  /** The term of ownership in which it was said. */
+  /** Ownership term of that confirmation. */
   readonly term: number
 }
 
-/** What the host is told. */
+/** The owner's answer to a report. */
 export interface MeterAnswer {
   readonly account: types.AccountId
   readonly term: number
   readonly state: accountMeter.MeterState
-  /** So many of those asked for may be sent; they are counted already. */
+  /** How many of the requests asked for may be sent; they are already charged. */
   readonly granted: accountMeter.RequestCounts
-  /** When to come back with the others, in ms. */
+  /** Retry-after time for the others, in ms. */
   readonly waitMs: accountMeter.RequestCounts
 }
 
 interface AccountEntry {
   readonly meter: accountMeter.AccountMeter
-  /** The term of ownership in which it was counted: what was counted in another one says nothing of what was sent in between. */
+  /** Ownership term of the counts. Counts of another term are not used, since requests sent in between are missing. */
   readonly term: number
-  /** Version of the configuration that its limit is from. */
+  /** Version of the configuration that contains the limit. */
   readonly configVersion: number
-  /** What the term began with, as if nothing had been sent since. */
+  /** The meter as at the beginning of the term, refilled but without the requests since. */
   readonly baseline: accountMeter.AccountMeter
 }
 
-/** A meter without a report for this long, in ms, is full again or as good as. */
+/** A meter without a report for this long, in ms, is practically full again and is removed. */
 const idleTimeoutMs = 60_000
 
-/** The meters of all accounts that this process counts. */
+/** The meters of all accounts that this process owns. */
 export class MeterRegistry {
   private readonly accounts = new Map<types.AccountId, AccountEntry>()
 
@@ -52,12 +52,12 @@
     return this.accounts.size
   }
 
-  /** Settles one report; term: of this process's ownership of the account; version: of the reporter's configuration; now: monotonic ms. */
+  /** Applies a report and decides on the requests asked for. `term`: of this process's ownership; `configVersion`: of the reporter; `now`: monotonic ms. */
   applyReport (report: MeterReport, term: number, configVersion: number, now: number): MeterAnswer {
     const entry = this.getCurrentEntry(report, term, configVersion, now)
     let meter = accountMeter.spend(accountMeter.refillMeter(entry.meter, now), report.spent)
     const granted = { first: 0, further: 0 }
-    // Programs under way go first.
+    // Requests of running programs have priority over new programs.
     for (const position of ['further', 'first'] as const) {
       while (granted[position] < report.asked[position] && accountMeter.computeHeadroom(meter, position) >= 0) {
         meter = accountMeter.spend(meter, accountMeter.createSingleCount(position))
@@ -69,7 +69,7 @@
     return { account: report.account, term, state: accountMeter.toState(meter), granted, waitMs }
   }
 
-  /** Forgets accounts that are quiet. */
+  /** Removes accounts without recent reports. */
   prune (now: number): void {
     for (const [account, { meter }] of this.accounts) {
       if (now - meter.updatedAt > idleTimeoutMs) this.accounts.delete(account)
@@ -80,7 +80,7 @@
     const known = this.accounts.get(report.account)
     if (known === undefined || known.term !== term) return createEntry(report, term, configVersion, now)
     const current = configVersion > known.configVersion ? applyNewLimit(known, report.limit, configVersion) : known
-    // A belief under another limit can't be compared.
+    // A state under another limit can't be compared.
     return configVersion === current.configVersion ? lowerBaseline(current, report, now) : current
   }
 }
@@ -96,8 +96,8 @@
 }
 
 /**
- * What hosts heard from former owners differs by what was sent meanwhile: the lowest is the nearest to the truth, so what
- * the term began with is lowered whenever a host knows of less.
+ * Lowers the baseline of the term to the confirmed state of a host if that is lower. States that hosts have from former
+ * owners differ by the requests sent in between, and the lowest is the most accurate.
  */
 function lowerBaseline (entry: AccountEntry, { believed }: MeterReport, now: number): AccountEntry {
   if (believed === undefined || believed.term === entry.term) return entry
