--- a/packages/decide/admit-program/src/admit-by-load.test.ts
+++ b/packages/decide/admit-program/src/admit-by-load.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap'
 import * as admitByLoad from './admit-by-load.js'
 
-/** A pool of slots that takes turns in the order of their arrival; programs of three turns with short pauses. Times in ms. */
+/** The simulation: slots that process turns in order of arrival, and programs of three turns with short pauses. Times in ms. */
 const slots = 96
 const turnMs = 300
 const pauseMs = 60
@@ -9,27 +9,27 @@
 const idleMs = turnsOfProgram * turnMs + (turnsOfProgram - 1) * pauseMs
 const objectiveMs = idleMs * 1.5 + 250
 const stepMs = 10
-/** Loads are heard this late. */
+/** Delay of load reports, in steps. */
 const reportLagSteps = 80
 const maxTries = 6
 
-/** The load, and what the engines are like. */
+/** The offered load and the properties of the engines. */
 interface Pattern {
-  /** Share of the slots that programs use outside of the burst. */
+  /** Share of the slots that programs use outside the burst. */
   readonly baseUse: number
-  /** From second 5 to 11 so many times as many programs come. */
+  /** Factor of the arrival rate from second 5 to 11. */
   readonly burst: number
-  /** A turn takes 1 + slowing times its time while all slots are used. */
+  /** A turn takes 1 + slowdownAtFullUse times as long while all slots are used. */
   readonly slowdownAtFullUse: number
-  /** Programs whose prompts the memory holds, as a share of the slots. */
+  /** Number of programs whose prompts fit into the cache, as a share of the slots. */
   readonly cachedProgramsShare: number
-  /** Time to read a prompt again that is not held any more. */
+  /** Time to prefill a prompt that was evicted from the cache. */
   readonly missMs: number
 }
 
-/** Engines whose turns do not disturb one another, and which forget nothing. */
+/** Engines limited by slots: turns do not slow one another, and no prompt is evicted. */
 const slotBound: Pattern = { baseUse: 0.75, burst: 1.9, slowdownAtFullUse: 0, cachedProgramsShare: Infinity, missMs: 0 }
-/** Engines that slow with use, and whose memory binds before their slots do. */
+/** Engines limited by memory: they slow down with load, and their cache is full before their slots are. */
 const memoryBound: Pattern = { baseUse: 0.35, burst: 1.9, slowdownAtFullUse: 0.6, cachedProgramsShare: 0.6, missMs: 300 }
 
 interface Program {
@@ -54,7 +54,7 @@
   }
 }
 
-/** Plays 25 s with a burst from second 5 to 11; gives the share of programs in time and the number refused for good. */
+/** Simulates 25 s with a burst from second 5 to 11; returns the share of programs in time and the number finally refused. */
 function simulateBurst (seed: number, pattern: Pattern, isAdmitted: AdmissionRule) {
   const random = createRandom(seed)
   const programs: Program[] = []
@@ -111,10 +111,10 @@
 }
 
 const createLoadRule = (holdsAllSlots: boolean): AdmissionRule => (load, _tries, random) => admitByLoad.admitByLoad({ load, holdsAllSlots, random })
-/** The rule as it fits the engines. */
+/** The rule for the limiting resource of these engines. */
 const getRuleFor = (pattern: Pattern): AdmissionRule => createLoadRule(pattern.cachedProgramsShare >= 1)
 
-/** By how much more programs finish in time than if all are admitted, by seed. */
+/** Increase of the share of programs in time, compared with admitting all, by seed. */
 function computeGains (pattern: Pattern): number[] {
   return [1, 2, 3, 4, 5, 6].map((seed) => simulateBurst(seed, pattern, getRuleFor(pattern)).share - simulateBurst(seed, pattern, () => true).share)
 }
@@ -124,7 +124,7 @@
 }
 
 for (const [name, pattern, minGain] of [['slots', slotBound, 0.1], ['memory', memoryBound, 0.12]] as const) {
-  tap.test(`in a burst on engines that ${name} bind, more programs finish in time than if all are admitted`, (t) => {
+  tap.test(`in a burst on engines limited by ${name}, more programs finish in time than if all are admitted`, (t) => {
     const gains = computeGains(pattern)
     t.ok(gains.every((gain) => gain > 0), gains.map((gain) => gain.toFixed(2)).join())
     t.ok(computeMean(gains) > minGain, `mean gain ${computeMean(gains).toFixed(3)}`)
@@ -132,7 +132,7 @@
   })
 }
 
-tap.test('in a burst more programs finish in time where engines that hold all their slots are filled further', (t) => {
+tap.test('in a burst more programs finish in time if engines with enough memory for all slots get the higher load range', (t) => {
   const seeds = Array.from({ length: 20 }, (_, index) => index + 1)
   for (const pattern of [slotBound, { ...slotBound, burst: 2.1 }, { ...slotBound, slowdownAtFullUse: 0.15 }]) {
     const shareOf = (rule: AdmissionRule): number => computeMean(seeds.map((seed) => simulateBurst(seed, pattern, rule).share))
@@ -143,14 +143,14 @@
   t.end()
 })
 
-tap.test('nobody is refused for good in calm hours, and none at all below the usual load', (t) => {
+tap.test('no program is finally refused without a burst, and none at all at low load', (t) => {
   for (const seed of [1, 2, 3]) t.equal(simulateBurst(seed, { ...slotBound, baseUse: 0.6, burst: 1 }, getRuleFor(slotBound)).refused, 0)
   for (const seed of [1, 2, 3]) t.equal(simulateBurst(seed, { ...memoryBound, burst: 1 }, getRuleFor(memoryBound)).refused, 0)
   t.ok(admitByLoad.admitByLoad({ load: 0.6, holdsAllSlots: false, random: () => 0.999 }))
   t.end()
 })
 
-tap.test('the chance falls with the load, and nobody is shut out', (t) => {
+tap.test('the admission probability falls with the load and never reaches 0', (t) => {
   const admitted = (load: number): boolean => admitByLoad.admitByLoad({ load, holdsAllSlots: false, random: () => 0.5 })
   t.same([admitted(0.8), admitted(0.9)], [true, false])
   t.ok(admitByLoad.admitByLoad({ load: 99, holdsAllSlots: false, random: () => 0.04 }))
--- a/packages/decide/admit-program/src/admit-by-load.ts
+++ b/packages/decide/admit-program/src/admit-by-load.ts
@@ -1,24 +1,23 @@
 /**
- * Admission of new programs by how full the engines are now. It answers a burst: engines take turns in the order of
- * their arrival, so that without it every program under way waits behind the first turns of new ones, and all of them
- * finish late together.
+ * Admission control by the current load of the engines, for bursts. Engines process turns in order of arrival: without
+ * admission control, running programs queue behind the first turns of new ones, and all of them miss their deadlines.
  *
- * What binds differs: slots, or the memory of the engines and the steps that slow with use, long before slots are full.
- * Where memory binds, a few programs more make all of them read their prompts again; where slots bind, a program that is
- * refused at its start loses more of its time than it would by waiting for a slot.
+ * The limiting resource is either the slots, or, long before all slots are used, the cache memory and the batch steps
+ * that slow down with load. If memory is the limit, a few more programs evict the cached prompts of all others; if slots
+ * are the limit, a refused program loses more time than it would by waiting for a slot.
  */
 
-/** What one decision depends on. */
+/** Input of one decision. */
 export interface LoadAdmissionInput {
-  /** Turns at the engines, those that wait there included, as a share of their slots. */
+  /** Running and queued turns at the engines, as a share of their slots. */
   readonly load: number
-  /** The memory of the engines holds what runs in all their slots. */
+  /** Whether the cache memory is large enough for the prompts of all slots. */
   readonly holdsAllSlots: boolean
   /** Uniform in [0, 1). */
   readonly random: () => number
 }
 
-/** Loads between which the chance of a new program falls from 1 to nearly 0, as shares of the slots. */
+/** Loads between which the admission probability falls from 1 to nearly 0, as shares of the slots. */
 interface LoadRange {
   readonly lower: number
   readonly upper: number
@@ -26,13 +25,13 @@
 
 const memoryBoundRange: LoadRange = { lower: 0.6, upper: 1.1 }
 const slotBoundRange: LoadRange = { lower: 0.9, upper: 1.5 }
-/** What is still admitted then: loads may only be believed. */
+/** Minimum admission probability, since the known load may be wrong. */
 const minProbability = 0.05
 
-/** When a refused program may come back, in ms: its time to spare is about half a second. */
+/** Retry-after time of a refused program, in ms; a program has about half a second to spare. */
 export const loadRetryMs = 300
 
-/** Whether a new program is admitted. */
+/** Whether a new program is admitted; random, with a probability that falls with the load. */
 export function admitByLoad ({ load, holdsAllSlots, random }: LoadAdmissionInput): boolean {
   const { lower, upper } = holdsAllSlots ? slotBoundRange : memoryBoundRange
   const probability = (upper - load) / (upper - lower)
--- a/packages/decide/admit-program/src/admit-program.test.ts
+++ b/packages/decide/admit-program/src/admit-program.test.ts
@@ -28,18 +28,18 @@
   t.match(decideAdmission.decideAdmission({ type: 'none' }, createInput({ waiting: 9_999, deadline: -1 })), { type: 'admit' })
 })
 
-tap.test('the queue bound refuses past its length', async (t) => {
+tap.test('the queue bound refuses while the queue is longer than the bound', async (t) => {
   const rule: decideAdmission.AdmissionRule = { type: 'queueBound', waitingPerSlot: 2 }
   t.match(decideAdmission.decideAdmission(rule, createInput({ waiting: 16 })), { type: 'admit' })
   t.match(decideAdmission.decideAdmission(rule, createInput({ waiting: 17 })), { type: 'refuse', reason: { type: 'queue', most: 16 } })
 })
 
-tap.test('an idle system admits what fits, and says when nothing helps', async (t) => {
+tap.test('an idle system admits a program with enough time, and reports when a retry does not help', async (t) => {
   t.match(decideAdmission.decideAdmission(inTime, createInput()), { type: 'admit' })
   t.match(decideAdmission.decideAdmission(inTime, createInput({ deadline: 10_000 })), { type: 'refuse', reason: { type: 'deadlineTooClose' } })
 })
 
-tap.test('programs admitted before count, and worth gets more room', async (t) => {
+tap.test('admitted programs count as load, and a higher value density raises the limit', async (t) => {
   t.match(decideAdmission.decideAdmission(inTime, createInput({ demand: 6.7 })), { type: 'admit' })
   const busy = createInput({ demand: 7 })
   t.match(decideAdmission.decideAdmission(inTime, busy), { type: 'refuse', retryAfterMs: 13_333, reason: { type: 'likelihood', use: 0.925 } })
@@ -63,15 +63,15 @@
     if (refused) refusals += 1
     return !refused || decideAdmission.decideAdmission(inTime, heavier).type === 'refuse'
   }), { seed: 1, numRuns: 1_000 })
-  t.ok(refusals > 100 && refusals < 900, 'the property saw both')
+  t.ok(refusals > 100 && refusals < 900, 'the inputs include admissions and refusals')
 })
 
-tap.test('long calls fill the memory before the batch', async (t) => {
+tap.test('long calls fill the cache memory before the batch', async (t) => {
   t.equal(usableSlots.computeUsableSlots({ slots: 16, cacheTokens: 100_000, meanCallTokens: 1_000 }), 16)
   t.equal(usableSlots.computeUsableSlots({ slots: 16, cacheTokens: 100_000, meanCallTokens: 6_000 }), 10)
 })
 
-tap.test('less room when demand has been high for minutes', async (t) => {
+tap.test('the limit falls after minutes of high utilization', async (t) => {
   t.match(decideAdmission.decideAdmission(inTime, createInput({ demand: 6.6, meanUtilization: 0.5 })), { type: 'admit' })
   t.match(decideAdmission.decideAdmission(inTime, createInput({ demand: 6.6, meanUtilization: 0.8 })), { type: 'refuse', reason: { mostUse: 0.8 } })
   const mean = meanUtilization.createMeanUtilization(0, 100_000)
--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -1,54 +1,56 @@
-/** Decides, at the start of a program only, whether it is admitted. What was started is never refused later. */
+/** Decides at the start of a program whether it is admitted. A started program is never refused later. */
 import * as errors from '@eelgrasswind/errors'
 
+/** The configured rule of admission control. */
 export type AdmissionRule =
   | { readonly type: 'none' }
-  /** Refuses while more calls wait for each slot than `waitingPerSlot`. */
+  /** Refuses while more than `waitingPerSlot` calls per slot are queued. */
   | { readonly type: 'queueBound', readonly waitingPerSlot: number }
   /**
-   * Refuses a program whose likelihood of finishing in time is below `minLikelihood`, and any while admitted
-   * programs would run too many calls for each slot: `peakUse` for a short time, `sustainedUse` when it has been
-   * near that for minutes. `worthUse` more for each doubling of the program's worth (its weight for each second
-   * that it is expected to run) above the usual one, and as much less below.
+   * Refuses a program whose likelihood of finishing in time is below `minLikelihood`, and any program while admitted
+   * ones would run too many calls per slot. The limit is `peakUse` for a short time and `sustainedUse` after minutes of
+   * utilization near that. It rises by `usePerDoubling` with each doubling of the program's value density (its weight
+   * per second of expected run time) above the mean, and falls likewise below.
    */
   | { readonly type: 'inTime', readonly minLikelihood: number, readonly peakUse: number, readonly sustainedUse: number, readonly usePerDoubling: number }
 
-/** What admission is decided from; times in milliseconds. */
+/** Input of one decision; times in milliseconds. */
 export interface AdmissionInput {
   readonly now: number
   readonly deadline: number
   /** Weight of the program's kind, above 0; 1 is ordinary. */
   readonly weight: number
-  /** Calls that the live engines of the region run at once, from `usableSlots`. */
+  /** Calls that the live engines of the region run concurrently, from `computeUsableSlots`. */
   readonly slots: number
-  /** Calls waiting there, as last reported. */
+  /** Calls queued at these engines, as last reported. */
   readonly waiting: number
   /**
-   * Calls that admitted programs are expected to run at once: the sum over them of expected run time divided by
-   * expected time, both of what remains. Known at once for one's own programs and late for others'. A program that
-   * has been silent for longer than `silentMs` does not count: its caller has probably gone away.
+   * Calls that admitted programs are expected to run concurrently: the sum over them of expected remaining run time
+   * divided by expected remaining time. Immediately known for programs of this process and late for others. A program
+   * without calls for longer than `programIdleTimeoutMs` does not count: its caller is probably gone.
    */
   readonly demand: number
-  /** `demand` for each slot, as a mean over the last minutes; from `createMeanUse`. */
+  /** Mean `demand` per slot over the last minutes, from `createMeanUtilization`. */
   readonly meanUtilization: number
-  /** Time that the new program's calls are expected to run. */
+  /** Expected total run time of the new program's calls. */
   readonly runMs: number
-  /** Expected time from start to finish if nothing waits, pauses included. */
+  /** Expected time from start to finish without queueing, pauses included. */
   readonly expectedMs: number
-  /** Mean absolute deviation of the same. */
+  /** Mean absolute deviation of `expectedMs`. */
   readonly expectedMsDeviation: number
-  /** Mean over the programs offered lately of weight divided by `runMs`. */
+  /** Mean of weight divided by `runMs` over the recently offered programs. */
   readonly meanValueDensity: number
-  /** Time that finished calls lately took, waiting included, as a multiple of the time that they ran. */
+  /** Time of recently finished calls, queueing included, as a multiple of their run time. */
   readonly slowdown: number
 }
 
+/** Why a program was admitted or refused. */
 export type AdmissionReason =
   | { readonly type: 'rule' }
   | { readonly type: 'queue', readonly waiting: number, readonly most: number }
-  /** Likelihood of finishing in time, and calls for each slot that would run with this program admitted. */
+  /** Likelihood of finishing in time, and calls per slot with this program admitted (`use`) against the limit (`mostUse`). */
   | { readonly type: 'likelihood', readonly likelihood: number, readonly use: number, readonly mostUse: number }
-  /** Too little time is left even on an idle system; coming back does not help. */
+  /** Too little time is left even on an idle system; a retry does not help. */
   | { readonly type: 'deadlineTooClose', readonly likelihood: number }
 
 export type AdmissionDecision =
@@ -57,21 +59,21 @@
 
 export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, usePerDoubling: 0.1 }
 
-/** Silence after which an admitted program no longer counts as demand, until its next call. */
+/** Time without calls after which an admitted program does not count as demand until its next call. */
 export const programIdleTimeoutMs = 30_000
-/** Shortest time to come back that is worth naming. */
+/** Lower bound of the retry-after time. */
 const minRetryAfterMs = 1_000
-/** Part of the sustained use from which on the room shrinks. */
+/** Share of the sustained use from which the limit is lowered. */
 const sustainedThreshold = 0.8
-/** Bounds what worth may do to a program's room. */
+/** Bound on the doublings of value density that change the limit. */
 const maxDoublings = 2
-/** Standard deviation of a normal distribution, in mean absolute deviations. */
+/** Standard deviation of a normal distribution, as a multiple of its mean absolute deviation. */
 const sigmaPerMeanDeviation = 1.25
-/** Least standard deviation that is believed, as a part of the mean. */
+/** Lower bound of the standard deviation, as a share of the mean. */
 const minVariation = 0.1
-/** Part of its spare time that a refused program is asked to wait. */
+/** Share of its spare time that a refused program is asked to wait. */
 const spareTimeShare = 1 / 3
-/** Longest one: the estimate does not reach further. */
+/** Upper bound of the retry-after time: the estimate does not extend further. */
 const maxRetryAfterMs = 300_000
 
 export function decideAdmission (rule: AdmissionRule, input: AdmissionInput): AdmissionDecision {
@@ -105,29 +107,29 @@
   return { type: 'refuse', retryAfterMs: computeRetryAfterMs(input, use, mostUse), reason }
 }
 
-/** Calls for each slot that may run: falls from the peak to the sustained figure as the mean approaches the latter. */
+/** Limit of calls per slot: falls from the peak to the sustained use as the mean utilization approaches the latter. */
 function computeUseLimit (rule: Extract<AdmissionRule, { type: 'inTime' }>, input: AdmissionInput): number {
   const nearness = (input.meanUtilization / rule.sustainedUse - sustainedThreshold) / (1 - sustainedThreshold)
   const progress = Math.max(0, Math.min(1, nearness))
   return rule.peakUse - (rule.peakUse - rule.sustainedUse) * progress
 }
 
-/** Doublings of the usual worth, within bounds. */
+/** Doublings of the program's value density relative to the mean, within bounds. */
 function computeValueDoublings (input: AdmissionInput): number {
   const valueDensity = input.weight / Math.max(1, input.runMs)
   const doublings = Math.log2(valueDensity / input.meanValueDensity)
   return Math.max(-maxDoublings, Math.min(maxDoublings, doublings))
 }
 
-/** Likelihood that the program finishes in time when its calls take `stretch` times as long as they run. */
+/** Likelihood that the program finishes in time if its calls take `slowdown` times their run time. */
 function computeLikelihood (input: AdmissionInput, slowdown: number): number {
   const waitMs = (slowdown - 1) * input.runMs
   return computeLogNormalCdf(input.deadline - input.now - waitMs, input.expectedMs, input.expectedMsDeviation)
 }
 
 /**
- * When another try is worth it: when so many admitted programs have ended that this one would fit, or else after a
- * part of the time that it can spare, in which the load may have changed.
+ * Retry-after time of a refused program: until enough admitted programs are expected to end for this one to fit, or a
+ * share of its spare time if that is longer, since the load may change within it.
  */
 function computeRetryAfterMs (input: AdmissionInput, use: number, mostUse: number): number {
   const excess = Math.max(0, use - mostUse) / Math.max(use, Number.EPSILON)
@@ -139,7 +141,7 @@
   return Math.round(Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, ms)))
 }
 
-/** Share of a log-normal distribution below a value; program times have a long tail. */
+/** Cumulative distribution function of a log-normal distribution; program times have a long tail. */
 function computeLogNormalCdf (value: number, mean: number, meanDeviation: number): number {
   if (value <= 0) return 0
   const variation = sigmaPerMeanDeviation * meanDeviation / Math.max(1, mean)
@@ -148,7 +150,7 @@
   return computeNormalCdf(Math.log(value / median) / sigma)
 }
 
-/** Share of the normal distribution below a value in standard deviations, within 0.01. */
+/** Cumulative distribution function of the standard normal distribution, approximated to within 0.01. */
 function computeNormalCdf (x: number): number {
   const steepness = 1.702
   return 1 / (1 + Math.exp(-steepness * x))
--- a/packages/decide/admit-program/src/index.ts
+++ b/packages/decide/admit-program/src/index.ts
@@ -1,4 +1,4 @@
-/** Decides whether a new program is admitted. */
+/** Admission control: decides whether a new program may start. */
 export * from './decide-admission.js'
 export * from './usable-slots.js'
 export * from './mean-utilization.js'
--- a/packages/decide/admit-program/src/mean-utilization.ts
+++ b/packages/decide/admit-program/src/mean-utilization.ts
@@ -1,12 +1,12 @@
-/** Mean over the last minutes of the calls for each slot that admitted programs run. */
+/** Exponential mean of the utilization (calls of admitted programs per slot) over the last minutes. */
 
 export interface MeanUtilization {
-  /** The use was so until now; call it often against the memory, such as with every load report. */
+  /** Records the utilization since the last call; call it often compared with the decay time, such as with every load report. */
   observe: (utilization: number, now: number) => void
   mean: () => number
 }
 
-/** Time after which an old use counts about a third. */
+/** Time constant of the decay: after this time an old value counts about a third. */
 export const meanUtilizationDecayMs = 120_000
 
 export function createMeanUtilization (now: number, decayMs = meanUtilizationDecayMs): MeanUtilization {
--- a/packages/decide/admit-program/src/usable-slots.ts
+++ b/packages/decide/admit-program/src/usable-slots.ts
@@ -1,15 +1,15 @@
-/** How many calls an engine really runs at once: long prompts fill its memory before its batch is full. */
+/** Estimates how many calls an engine runs concurrently: long prompts fill its cache memory before its batch is full. */
 
 export interface EngineCapacity {
-  /** Streams of a batch. */
+  /** Maximum number of streams in a batch. */
   readonly slots: number
-  /** Tokens that the engine's memory holds, for running calls and cached prefixes together. */
+  /** Capacity of the cache memory in tokens, for running calls and cached prefixes together. */
   readonly cacheTokens: number
-  /** Mean of prompt and answer tokens over running calls, long ones counting for longer. */
+  /** Mean of prompt and output tokens over running calls, weighted by their run time. */
   readonly meanCallTokens: number
 }
 
-/** Part of the memory for running calls; the rest is left for the prefixes of programs that pause. */
+/** Share of the memory for running calls; the rest is left for the cached prefixes of paused programs. */
 const runningCallShare = 0.6
 
 export function computeUsableSlots (capacity: EngineCapacity): number {
