--- a/packages/decide/route-request/src/index.ts
+++ b/packages/decide/route-request/src/index.ts
@@ -1,3 +1,3 @@
-/** Finds the route of an HTTP request and the service that takes it, from the published routing. */
+/** Matches an HTTP request to a route and a target service of the published routing. */
 export * from './routing.js'
 export * from './route-table.js'
--- a/packages/decide/route-request/src/route-table.ts
+++ b/packages/decide/route-request/src/route-table.ts
@@ -2,19 +2,19 @@
 import type * as types from '@eelgrasswind/types'
 import type * as routing from './routing.js'
 
-/** The routes of one version, arranged for lookups. */
+/** An index of the routes of one routing version. */
 export interface RouteTable {
-  /** The route whose prefix is the longest that begins the path; `undefined` where no route matches. */
+  /** Returns the route with the longest matching path prefix; `undefined` if none matches. */
   readonly find: (host: string, path: string) => routing.Route | undefined
 }
 
-/** A host's routes by prefix, and the lengths that occur, longest first. */
+/** A host's routes by path prefix, and the distinct prefix lengths in descending order. */
 interface HostRoutes {
   readonly byPrefix: Map<string, routing.Route>
   prefixLengths: readonly number[]
 }
 
-/** A lookup costs one hash probe for each distinct prefix length of the host, whatever the number of routes. */
+/** Builds the table. A lookup costs one hash probe per distinct prefix length of the host, regardless of the number of routes. */
 export function createRouteTable (routes: readonly routing.Route[]): RouteTable {
   const hosts = new Map<string, HostRoutes>()
   for (const route of routes) {
@@ -30,7 +30,7 @@
   return { find: (host, path) => findRoute(hosts.get(normalizeHost(host)), path) }
 }
 
-/** The host without its port, in lower case. */
+/** Strips the port and converts to lower case. */
 function normalizeHost (host: string): string {
   const colon = host.indexOf(':')
   const name = colon === -1 ? host : host.slice(0, colon)
@@ -53,7 +53,7 @@
   return query === -1 ? path : path.slice(0, query)
 }
 
-/** Draws a service by weight; `random` is uniform in [0, 1). */
+/** Selects a target service at random by weight; `random` is uniform in [0, 1). */
 export function chooseService (route: routing.Route, random: () => number): types.ServiceId | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
   let remaining = random() * total
--- a/packages/decide/route-request/src/routing.ts
+++ b/packages/decide/route-request/src/routing.ts
@@ -1,37 +1,37 @@
-/** The published routing in the product's own terms: what the operator says about routes, services and limits. */
+/** Internal model of the published routing: routes, services, client accounts and limits as configured by the operator. */
 import type * as types from '@eelgrasswind/types'
 
-/** What may happen to a request more than once. */
+/** Whether a request may be executed more than once. */
 export type Repeatability =
-  /** May run any number of times. */
+  /** May be executed any number of times. */
   | 'idempotent'
-  /** May run once at most for each client attempt. */
+  /** May be executed at most once per client attempt. */
   | 'atMostOnce'
 
-/** A service with its share of a route's requests. */
+/** A target service of a route. */
 export interface WeightedService {
   readonly service: types.ServiceId
   /** Relative weight, above 0. */
   readonly weight: number
 }
 
-/** How a route that answers with an event stream is judged. */
+/** Rules for a route whose responses are event streams. */
 export interface StreamRules {
-  /** Longest pause between two events that is still on time, in ms. */
+  /** Maximum gap between two events of a stream that is on time, in ms. */
   readonly gapMs: number
-  /** Another upstream can go on after the last event that was received. */
+  /** Whether another upstream can resume the stream after the last received event. */
   readonly resumable: boolean
 }
 
-/** What is remembered of the turns of agent programs. */
+/** Retention rules for the turns of agent programs. */
 export interface RetainRules {
-  /** Whether what was said is kept, for later turns to continue from. */
+  /** Whether the messages of turns are stored, so that later turns can continue from them. */
   readonly keepsTurns: boolean
-  /** How long after the last turn, in ms; the budgets of programs are remembered on every route that names it. */
+  /** Retention after the last turn, in ms; program budgets are kept on every route that sets it. */
   readonly retainMs: number
 }
 
-/** What holds for the requests of one host and path prefix. */
+/** Routing rules for the requests to one host and path prefix. */
 export interface Route {
   readonly name: string
   readonly host: string
@@ -39,53 +39,53 @@
   readonly pathPrefix: string
   readonly repeatability: Repeatability
   readonly targets: readonly WeightedService[]
-  /** The longest that a request is kept waiting for its answer, in ms. */
+  /** Maximum time until the response, in ms. */
   readonly timeoutMs: number
-  /** The time within which an answer earns its full worth, in ms. */
+  /** Latency objective: the time within which a response has its full value, in ms. */
   readonly objectiveMs: number
-  /** Rank of the route: 0 is the most important. */
+  /** Priority of the route; 0 is the highest. */
   readonly rank: number
-  /** The most upstreams that one client attempt may be sent to. */
+  /** Maximum number of upstreams that one client attempt may be sent to. */
   readonly maxAttempts: number
   readonly stream: StreamRules | undefined
   readonly retain: RetainRules | undefined
-  /** Takes requests without the key of a client account. */
+  /** Whether requests without the key of a client account are accepted. */
   readonly isPublic: boolean
 }
 
-/** What the operator says of the model engines of a service. */
+/** Configured properties of the model engines of a service. */
 export interface EngineRules {
-  /** Requests that an engine runs at once. */
+  /** Requests that an engine runs concurrently. */
   readonly slots: number
-  /** Tokens that an engine's memory holds. */
+  /** Capacity of an engine's cache memory, in tokens. */
   readonly memoryTokens: number
-  /** Tokens that one event of a stream counts for. */
+  /** Tokens that one stream event is counted as. */
   readonly tokensPerEvent: number
 }
 
-/** A kind of upstream that routes send requests to. */
+/** A group of equivalent upstreams to which routes send requests. */
 export interface Service {
   readonly name: types.ServiceId
   readonly engine: EngineRules | undefined
 }
 
-/** What a client account may send: a token bucket over all hosts together. */
+/** Rate limit of a client account: a token bucket shared by all hosts. */
 export interface AccountLimit {
   readonly requestsPerSecond: number
-  /** Requests that it may send at once after a quiet time. */
+  /** Requests that it may send at once after an idle time. */
   readonly burst: number
 }
 
-/** A client account as the operator publishes it. */
+/** A client account of the published routing. */
 export interface ClientAccount {
   readonly name: types.AccountId
-  /** Any of them says that a request is the account's. */
+  /** Each of the keys identifies the account. */
   readonly keys: readonly string[]
-  /** `undefined`: not limited. */
+  /** `undefined` if the account is not limited. */
   readonly limit: AccountLimit | undefined
 }
 
-/** What a client may send, and how long it may take. */
+/** Limits on the size of client requests, and client timeouts. */
 export interface ClientBounds {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
@@ -93,12 +93,12 @@
   readonly idleTimeoutMs: number
 }
 
-/** One published version in full. */
+/** One complete published version of the routing. */
 export interface Routing {
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: ReadonlyMap<types.ServiceId, Service>
   readonly bounds: ClientBounds
-  /** `undefined`: requests carry no keys. */
+  /** `undefined` if requests need no keys. */
   readonly accounts: readonly ClientAccount[] | undefined
 }
