--- a/packages/decide/identify-client/src/account-directory.ts
+++ b/packages/decide/identify-client/src/account-directory.ts
@@ -1,22 +1,22 @@
-/** The client accounts of one version of the configuration, arranged for lookups by key. */
+/** Indexes the client accounts of one configuration version by key and by name. */
 import * as crypto from 'node:crypto'
 import type * as routeRequest from '@eelgrasswind/route-request'
 import type * as types from '@eelgrasswind/types'
 
-/** Finds accounts by key and by name. */
+/** An index of client accounts. */
 export interface AccountDirectory {
-  /** False: the configuration has no accounts, and requests need no key. */
+  /** False if the configuration has no list of accounts: requests then need no key. */
   readonly isEnabled: boolean
   readonly findByKey: (key: string) => routeRequest.ClientAccount | undefined
   readonly findByName: (name: types.AccountId) => routeRequest.ClientAccount | undefined
 }
 
-/** Accounts that can't be told apart, or that can't be counted. Names the field; never a key. */
+/** Several accounts have the same name or key. The message names the field, never a key. */
 export class AccountError extends Error {
   override readonly name = 'AccountError'
 }
 
-/** Arranges the accounts. Throws `AccountError` where two share a name or a key. */
+/** Builds the index. Throws `AccountError` if two accounts share a name or a key. */
 export function createAccountDirectory (accounts: readonly routeRequest.ClientAccount[] | undefined): AccountDirectory {
   const byName = new Map<types.AccountId, routeRequest.ClientAccount>()
   const byDigest = new Map<string, routeRequest.ClientAccount>()
@@ -37,7 +37,7 @@
   }
 }
 
-/** Keys are looked up by digest, so that the time that it takes says nothing about how near a guess is. */
+/** Keys are looked up by digest, so that the time of a lookup reveals nothing about similar keys (timing attack). */
 function computeDigest (key: string): string {
   return crypto.createHash('sha256').update(key).digest('base64')
 }
--- a/packages/decide/identify-client/src/identify-client.test.ts
+++ b/packages/decide/identify-client/src/identify-client.test.ts
@@ -13,14 +13,14 @@
 const privateRoute = { isPublic: false }
 const publicRoute = { isPublic: true }
 
-tap.test('any key of an account names it', (t) => {
+tap.test('each key of an account identifies it', (t) => {
   for (const [key, name] of [['k-1', 'coaches'], ['k-2', 'coaches'], ['k-3', 'leagues']] as const) {
     t.same(identify.identifyCaller(directory, privateRoute, { type: 'key', key }), { type: 'caller', caller: { type: 'account', account: name } })
   }
   t.end()
 })
 
-tap.test('without a known key only public routes are open', (t) => {
+tap.test('without a known key only public routes are accessible', (t) => {
   const presented: identify.PresentedKey[] = [{ type: 'none' }, { type: 'unreadable' }, { type: 'key', key: 'k-4' }, { type: 'key', key: '' }, { type: 'key', key: 'K-1' }]
   for (const key of presented) {
     t.same(identify.identifyCaller(directory, privateRoute, key), { type: 'unknownKey' }, JSON.stringify(key))
@@ -29,7 +29,7 @@
   t.end()
 })
 
-tap.test('a configuration without accounts asks for no key, one with an empty list refuses all', (t) => {
+tap.test('a configuration without accounts requires no key, one with an empty list refuses all keys', (t) => {
   const none = accountDirectory.createAccountDirectory(undefined)
   t.same(identify.identifyCaller(none, privateRoute, { type: 'key', key: 'k-1' }), { type: 'caller', caller: { type: 'anyone' } })
   const empty = accountDirectory.createAccountDirectory([])
@@ -37,7 +37,7 @@
   t.end()
 })
 
-tap.test('accounts that share a key or a name are refused, and the error shows no key', (t) => {
+tap.test('accounts that share a key or a name are rejected, and the error does not contain the key', (t) => {
   t.throws(() => accountDirectory.createAccountDirectory([createAccount('a', 'secret-1'), createAccount('b', 'x', 'secret-1')]), /account b: keys\.1/)
   t.throws(() => accountDirectory.createAccountDirectory([createAccount('a', 'x'), createAccount('a', 'y')]), /account a: name/)
   t.doesNotThrow(() => accountDirectory.createAccountDirectory([createAccount('a', 'x', 'x')]))
@@ -49,7 +49,7 @@
   t.end()
 })
 
-tap.test('programs of two accounts never share a name', (t) => {
+tap.test('internal program ids of two accounts never collide', (t) => {
   const word = fc.stringMatching(/^[a-z/:@ ]{0,6}$/)
   fc.assert(fc.property(word, word, word, word, (a, p, b, q) => {
     const first = identify.scopeProgramId({ type: 'account', account: a as types.AccountId }, p as types.ProgramId)
--- a/packages/decide/identify-client/src/identify.ts
+++ b/packages/decide/identify-client/src/identify.ts
@@ -1,29 +1,29 @@
-/** Who sends a request. */
+/** Identifies the caller of a request. */
 import type * as routeRequest from '@eelgrasswind/route-request'
 import type * as types from '@eelgrasswind/types'
 import type * as accountDirectory from './account-directory.js'
 
-/** The key that came with a request. */
+/** The key presented with a request. */
 export type PresentedKey =
   | { readonly type: 'none' }
   | { readonly type: 'key', readonly key: string }
-  /** The header can't be read as one key. */
+  /** The header can't be parsed as a single key. */
   | { readonly type: 'unreadable' }
 
-/** Who sends a request; it goes with the request to every host that works on it. */
+/** The sender of a request; forwarded with the request to every host that processes it. */
 export type Caller =
-  /** The configuration has no accounts. */
+  /** The configuration has no list of accounts. */
   | { readonly type: 'anyone' }
-  /** The route is public, and the request named no account. */
+  /** The route is public, and the request has no key of an account. */
   | { readonly type: 'anonymous' }
   | { readonly type: 'account', readonly account: types.AccountId }
 
-/** What a request is told, if it may not go on. */
+/** Result of the identification: the caller, or the reason to refuse the request. */
 export type IdentifyResult =
   | { readonly type: 'caller', readonly caller: Caller }
   | { readonly type: 'unknownKey' }
 
-/** Decides who asks. On a public route a key is not needed, but one that is known counts. */
+/** Identifies the caller. A public route needs no key, but a known key still identifies the account. */
 export function identifyCaller (directory: accountDirectory.AccountDirectory, route: Pick<routeRequest.Route, 'isPublic'>, presented: PresentedKey): IdentifyResult {
   if (!directory.isEnabled) return { type: 'caller', caller: { type: 'anyone' } }
   const account = presented.type === 'key' ? directory.findByKey(presented.key) : undefined
@@ -32,14 +32,13 @@
   return { type: 'unknownKey' }
 }
 
-/** The account of a caller, if it has one. */
 export function getAccount (caller: Caller): types.AccountId | undefined {
   return caller.type === 'account' ? caller.account : undefined
 }
 
 /**
- * The name under which the system keeps a program: the same id under two accounts is two programs. No id that comes in a
- * header and no account's name holds a line feed.
+ * Returns the internal id of a program, which is unique across accounts. The separator is a line feed, which neither an
+ * id from a header nor an account name can contain.
  */
 export function scopeProgramId (caller: Caller, program: types.ProgramId): types.ProgramId {
   const account = getAccount(caller)
--- a/packages/decide/identify-client/src/index.ts
+++ b/packages/decide/identify-client/src/index.ts
@@ -1,3 +1,3 @@
-/** Decides who sends a request, from its key, its route and the client accounts of the configuration. Pure. */
+/** Identifies the client account of a request from its key, its route and the configured accounts. Pure. */
 export * from './account-directory.js'
 export * from './identify.js'
