--- a/packages/decide/place-call/src/candidate.ts
+++ b/packages/decide/place-call/src/candidate.ts
@@ -1,103 +1,108 @@
-/** What placement knows of the upstreams, and what it answers. */
+/** Input and result types of call placement, and the placement rules. */
 import type * as types from '@eelgrasswind/types'
 
-/** An upstream's load as last reported; late. */
+/** An upstream's load from its last report, which is out of date to some degree. */
 export interface ReportedLoad {
   readonly running: number
   readonly waiting: number
-  /** When it was so, in milliseconds on the clock of `now`. */
+  /** Time of the measurement, in milliseconds on the clock of `now`. */
   readonly at: number
 }
 
+/** An upstream that may take the call. */
 export interface Candidate {
   readonly upstream: types.UpstreamId
   readonly host: types.HostId
   readonly availabilityZone: types.AvailabilityZoneId
-  /** Calls of this process that run or wait there, known at once. */
+  /** Calls of this process that run or are queued there; always up to date. */
   readonly inFlight: number
-  /** Undefined while nothing has been reported. */
+  /** Undefined before the first report. */
   readonly reported: ReportedLoad | undefined
-  /** Calls of this process that were in flight there when the report was made, whether ended since or not. */
+  /** Calls of this process that were in flight there at the time of the report, including those that have ended since. */
   readonly inFlightAtReport: number
-  /** Calls that run there at once. */
+  /** Calls that it runs concurrently. */
   readonly slots: number
-  /** Tokens of this program's prefix that are believed to be cached there. */
+  /** Estimated number of tokens of this program's prefix that are cached there. */
   readonly cachedTokens: number
   readonly state: 'live' | 'leaving' | 'suspect'
-  /** Time for each token as a multiple of what is usual; 1 is usual. From `createSlowUpstreams`. */
+  /** Time per token as a multiple of the typical one; 1 is typical. From `createSlowUpstreamDetector`. */
   readonly slowFactor: number
 }
 
+/** The placement strategy. */
 export type PlaceRule =
   | { readonly type: 'roundRobin' }
-  /** The least reported load, however old. */
+  /** The lowest reported load, regardless of its age. */
   | { readonly type: 'leastLoaded' }
-  /** The better of two drawn at random, by reported load and own calls in flight. */
+  /** The better of two random candidates, by reported load and own calls in flight (power of two choices). */
   | { readonly type: 'twoChoices' }
-  /** The program's own engine, unless another would answer sooner by more than `spillMarginMs`; a first call has no margin. */
+  /** The engine with affinity to the program, unless another would respond more than `spillMarginMs` sooner; no margin for a first call. */
   | { readonly type: 'homeFirst', readonly costs: PlaceCosts, readonly spillMarginMs: number }
 
-/** Prices of the engines in use, in milliseconds. */
+/** Cost model of the engines, in milliseconds. */
 export interface PlaceCosts {
   readonly prefillMsPerToken: number
-  /** Of one stream alone. */
+  /** Time per output token with a single stream. */
   readonly decodeMsPerToken: number
-  /** Part by which each further stream of a batch slows the others. */
+  /** Relative slowdown of decoding per further stream in the batch. */
   readonly slowdownPerStream: number
-  /** Moving a cached token from one engine to another; undefined where engines cannot import. */
+  /** Cost of transferring a cached token from another engine; undefined if engines cannot import. */
   readonly importMsPerToken: number | undefined
-  /** Time that a call usually runs, for what waits before it. */
+  /** Typical run time of a call, to estimate the queueing delay. */
   readonly typicalCallMs: number
 }
 
+/** Input of one placement. */
 export interface PlaceInput {
   readonly home: types.HostId
-  /** Where the program's last call ran, and its prefix is; undefined for a first call. */
+  /** The upstream of the program's last call, which has its prefix cached; undefined for a first call. */
   readonly lastUpstream: types.UpstreamId | undefined
   readonly candidates: readonly Candidate[]
   readonly promptTokens: number
   readonly expectedTokens: number
-  /** Counts the calls placed by this process, for round robin. */
+  /** Number of calls placed by this process, for round robin. */
   readonly turn: number
-  /** From 0 up to, but without, 1. */
+  /** Uniform in [0, 1). */
   readonly random: () => number
 }
 
 /** A candidate that was weighed, and at what costs. */
 export interface ConsideredCandidate {
   readonly upstream: types.UpstreamId
-  /** Calls that run or wait there, as believed. */
+  /** Estimated number of calls that run or are queued there. */
   readonly load: number
-  /** Expected time to the end of the call; undefined where the rule prices nothing. */
+  /** Expected time to the end of the call; undefined if the rule estimates no cost. */
   readonly costMs: number | undefined
 }
 
+/** Why the upstream was selected. */
 export type PlaceReason =
   | { readonly type: 'turn' }
   | { readonly type: 'leastLoaded' }
   | { readonly type: 'betterOfTwo' }
-  /** The engine beside the home. */
+  /** The engine on the program's home host. */
   | { readonly type: 'home' }
-  /** Where the program's prefix is. */
+  /** The engine that has the program's prefix cached. */
   | { readonly type: 'prefix', readonly cachedTokens: number }
-  /** Waiting would have cost more than recomputing or importing the prefix. */
+  /** Queueing would have cost more than recomputing or importing the prefix elsewhere. */
   | { readonly type: 'spill', readonly savedMs: number, readonly prefix: 'recompute' | 'import' }
-  /** Neither the home's engine nor the program's last one may be used. */
+  /** Neither the engine on the home host nor that of the last call is usable. */
   | { readonly type: 'homeUnavailable' }
 
+/** Result of a placement. */
 export type Placement =
   | {
     readonly type: 'placed'
     readonly upstream: types.UpstreamId
     readonly host: types.HostId
-    /** Where to import the prefix from; undefined to recompute what is not cached. */
+    /** The upstream to import the prefix from; undefined to recompute what is not cached. */
     readonly importFrom: types.UpstreamId | undefined
     readonly reason: PlaceReason
     readonly considered: readonly ConsideredCandidate[]
   }
   | { readonly type: 'none', readonly retryAfterMs: number, readonly reason: 'noUpstream' | 'allLeaving' }
 
-/** Prices of a middle-sized model; measure your own, see docs/tuning.md. */
+/** Costs of a medium-sized model; measure those of your own engines, see docs/tuning.md. */
 export const defaultPlaceCosts: PlaceCosts = {
   prefillMsPerToken: 0.25,
   decodeMsPerToken: 20,
--- a/packages/decide/place-call/src/estimate-cost.ts
+++ b/packages/decide/place-call/src/estimate-cost.ts
@@ -1,15 +1,15 @@
-/** Prices a call on an upstream: waiting, the prompt, and the answer. */
+/** Estimates the cost of a call on an upstream: queueing, prefill and decoding. */
 import type * as types from '@eelgrasswind/types'
 import type * as candidates from './candidate.js'
 
-/** A candidate with the expected time to the end of the call there. */
+/** A candidate with the expected time to the end of the call, in milliseconds. */
 export interface CostedCandidate {
   readonly candidate: candidates.Candidate
   readonly costMs: number
   readonly importFrom: types.UpstreamId | undefined
 }
 
-/** Calls that run or wait there: the report, corrected by own calls begun and ended since. */
+/** Estimates the calls that run or are queued there: the report, corrected by own calls started and ended since. */
 export function estimateLoad (candidate: candidates.Candidate): number {
   const reported = candidate.reported
   if (reported === undefined) return candidate.inFlight
@@ -37,7 +37,7 @@
   }
 }
 
-/** The cheaper of computing the prompt and importing the part that another engine has cached. */
+/** The lower cost of computing the uncached prompt and of importing the part that another engine has cached. */
 function computePrefixCost (costs: candidates.PlaceCosts, input: candidates.PlaceInput, candidate: candidates.Candidate, bestCached: candidates.Candidate | undefined): { readonly costMs: number, readonly importFrom: types.UpstreamId | undefined } {
   const prefillMs = costs.prefillMsPerToken * candidate.slowFactor
   const cached = Math.min(candidate.cachedTokens, input.promptTokens)
--- a/packages/decide/place-call/src/in-flight-history.ts
+++ b/packages/decide/place-call/src/in-flight-history.ts
@@ -1,11 +1,12 @@
-/** Counts a process's own calls in flight by upstream, now and at the time of a late report. */
+/** Counts this process's calls in flight by upstream, now and at past times, to correct delayed load reports. */
 import type * as types from '@eelgrasswind/types'
 
+/** Counts of calls in flight. Times are in milliseconds. */
 export interface InFlightHistory {
   begin: (upstream: types.UpstreamId, now: number) => void
   end: (upstream: types.UpstreamId, now: number) => void
   getInFlight: (upstream: types.UpstreamId) => number
-  /** How many were in flight at a past time, as far back as `memoryMs`. */
+  /** Number of calls in flight at a past time, at most `historyMs` ago. */
   getInFlightAt: (upstream: types.UpstreamId, at: number) => number
 }
 
@@ -14,7 +15,7 @@
   readonly countAfter: number
 }
 
-/** How far back counts are kept: longer than load reports are late. */
+/** Time for which counts are kept: longer than the delay of load reports. */
 export const inFlightHistoryMs = 30_000
 
 export function createInFlightHistory (historyMs = inFlightHistoryMs): InFlightHistory {
@@ -45,7 +46,7 @@
   }
 }
 
-/** Drops all changes before a time but the last of them, once many have gathered. */
+/** Drops all changes before a time except the last one, once many have accumulated. */
 function trimHistory (upstreamChanges: Change[], before: number): void {
   const minChangesToTrim = 64
   if (upstreamChanges.length < minChangesToTrim) return
--- a/packages/decide/place-call/src/index.ts
+++ b/packages/decide/place-call/src/index.ts
@@ -1,4 +1,4 @@
-/** Decides which engine or service host takes the next call. */
+/** Selects the upstream for a call of a program. */
 export * from './candidate.js'
 export * from './place-call.js'
 export * from './in-flight-history.js'
--- a/packages/decide/place-call/src/place-call.test.ts
+++ b/packages/decide/place-call/src/place-call.test.ts
@@ -42,7 +42,7 @@
 }
 const rules: candidates.PlaceRule[] = [{ type: 'roundRobin' }, { type: 'leastLoaded' }, { type: 'twoChoices' }, homeFirst]
 
-tap.test('never a leaving upstream, and a suspect one only for want of a live one', async (t) => {
+tap.test('leaving upstreams are never selected, suspect ones only if no live one exists', async (t) => {
   const states = fc.array(fc.constantFrom('live' as const, 'leaving' as const, 'suspect' as const), { maxLength: 6 })
   fc.assert(fc.property(fc.constantFrom(...rules), states, fc.nat(20), fc.double({ min: 0, max: 0.999, noNaN: true }), (rule, all, turn, randomValue) => {
     const offered = all.map((state, at) => createCandidate(at, { state }))
@@ -53,7 +53,7 @@
   }), { seed: 1, numRuns: 1_000 })
 })
 
-tap.test('round robin takes turns, least loaded believes reports, two choices count own calls', async (t) => {
+tap.test('round robin rotates, leastLoaded uses reports only, twoChoices also counts own calls', async (t) => {
   const busy = createCandidate(0, { inFlight: 9, reported: { running: 0, waiting: 0, at: 0 } })
   const idle = createCandidate(1, { reported: { running: 2, waiting: 0, at: 0 } })
   const both = [busy, idle]
@@ -62,13 +62,13 @@
   t.match(placeCall.placeCall({ type: 'twoChoices' }, createInput(both)), { upstream: 'u1', reason: { type: 'betterOfTwo' } })
 })
 
-tap.test('own calls that were reported are not counted twice', async (t) => {
+tap.test('own calls that a report includes are not counted twice', async (t) => {
   const reported = createCandidate(0, { inFlight: 3, inFlightAtReport: 3, reported: { running: 3, waiting: 0, at: 0 } })
   const placement = placeCall.placeCall({ type: 'twoChoices' }, createInput([reported]))
   t.match(placement, { considered: [{ load: 3 }] })
 })
 
-tap.test('stays at home while that is cheaper, else spills and sticks', async (t) => {
+tap.test('a program stays on its engine while that is cheaper, otherwise spills and stays on the new one', async (t) => {
   const cached = createCandidate(0, { cachedTokens: 2_000 })
   t.match(placeCall.placeCall(homeFirst, createInput([cached, createCandidate(1)])), { upstream: 'u0', reason: { type: 'home' } })
   const full = { ...cached, reported: { running: 4, waiting: 8, at: 0 } }
@@ -79,7 +79,7 @@
   t.match(placeCall.placeCall(homeFirst, moved), { upstream: 'u1', reason: { type: 'prefix', cachedTokens: 2_000 } })
 })
 
-tap.test('an upstream that is slow but reports itself healthy is noticed and left', async (t) => {
+tap.test('an upstream that is slow but reports itself as healthy is detected and avoided', async (t) => {
   const detector = slowUpstreams.createSlowUpstreamDetector()
   const names = ['u0', 'u1', 'u2'] as types.UpstreamId[]
   for (let now = 0; now < 3_000; now += 100) {
@@ -90,7 +90,7 @@
   t.equal(detector.getSlowFactor(names[1]!, 3_000), 1)
   const cached = createCandidate(0, { cachedTokens: 2_000, slowFactor })
   t.match(placeCall.placeCall(homeFirst, createInput([cached, createCandidate(1)])), { upstream: 'u1', reason: { type: 'spill' } })
-  t.ok(detector.getSlowFactor(names[0]!, 63_000) < 1.3, 'fades, so that it is tried again')
+  t.ok(detector.getSlowFactor(names[0]!, 63_000) < 1.3, 'the factor decays, so that the upstream is used again')
 })
 
 tap.test('own calls are counted now and at the time of a report', async (t) => {
--- a/packages/decide/place-call/src/place-call.ts
+++ b/packages/decide/place-call/src/place-call.ts
@@ -1,9 +1,9 @@
-/** Places a call on one of the upstreams that may take it. */
+/** Selects the upstream for a call by the configured rule. */
 import * as errors from '@eelgrasswind/errors'
 import type * as candidates from './candidate.js'
 import * as costs from './estimate-cost.js'
 
-/** Time to come back while no upstream may take the call. */
+/** Retry-after time if no upstream is usable. */
 const noUpstreamRetryMs = 1_000
 
 export function placeCall (rule: candidates.PlaceRule, input: candidates.PlaceInput): candidates.Placement {
@@ -55,7 +55,7 @@
   return [all[first]!, all[(first + step) % all.length]!]
 }
 
-/** Compares the program's own engine with two others drawn at random, so that a herd never forms. */
+/** Compares the engine with affinity to the program with two random others, to avoid a thundering herd on the cheapest one. */
 function placeByCost (
   rule: Extract<candidates.PlaceRule, { type: 'homeFirst' }>,
   input: candidates.PlaceInput,
@@ -67,14 +67,14 @@
   const affinityOption = options.find((option) => option.candidate === affinityCandidate)
   if (affinityOption === undefined) return createCostedPlacement(best, { type: 'homeUnavailable' }, options)
   const savedMs = affinityOption.costMs - best.costMs
-  // Before its first call a program has no prefix to leave behind.
+  // Before its first call a program has no cached prefix to lose.
   const marginMs = input.lastUpstream === undefined ? 0 : rule.spillMarginMs
   if (savedMs <= marginMs) return createCostedPlacement(affinityOption, describeAffinity(input, affinityOption), options)
   const prefix = best.importFrom === undefined ? 'recompute' : 'import'
   return createCostedPlacement(best, { type: 'spill', savedMs, prefix }, options)
 }
 
-/** The engine that the program sticks to: where its last call ran, or else the one beside its home. */
+/** The engine with affinity to the program: that of its last call, otherwise the one on its home host. */
 function findAffinityCandidate (input: candidates.PlaceInput, usable: readonly candidates.Candidate[]): candidates.Candidate | undefined {
   const last = usable.find((candidate) => candidate.upstream === input.lastUpstream)
   return last ?? usable.find((candidate) => candidate.host === input.home)
--- a/packages/decide/place-call/src/slow-upstreams.ts
+++ b/packages/decide/place-call/src/slow-upstreams.ts
@@ -1,24 +1,26 @@
 /**
- * Notices upstreams that are slow while they report themselves healthy, from the times between the tokens of
- * one's own calls, compared with what is usual on the others.
+ * Detects upstreams that are slow although they report themselves as healthy: compares the time per token of this
+ * process's calls with that on the other upstreams.
  */
 import type * as types from '@eelgrasswind/types'
 
+/** Settings of the detector. */
 export interface SlowUpstreamSettings {
   /** Weight of the newest observation, 0 to 1. */
   readonly newestShare: number
-  /** Factors below this count as 1: batches differ in size. */
+  /** Factors below this count as 1, since batches differ in size. */
   readonly toleratedFactor: number
-  /** Time after which an upstream without new observations is believed half as slow. */
+  /** Time without new observations after which the excess over 1 is halved. */
   readonly halfLifeMs: number
 }
 
 export const defaultSlowUpstreamSettings: SlowUpstreamSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
 
+/** Detector of slow upstreams. Times are in milliseconds. */
 export interface SlowUpstreamDetector {
-  /** Tokens that came on one stream in a time, both since the last observation of it; no token counts as a part of one. */
+  /** Records the tokens received on a stream and the time elapsed since its last observation; 0 tokens count as one. */
   observe: (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number) => void
-  /** Time for each token as a multiple of what is usual among the others; 1 when it is not out of the ordinary. */
+  /** Time per token as a multiple of the median of the other upstreams; 1 if it is within the tolerated factor. */
   getSlowFactor: (upstream: types.UpstreamId, now: number) => number
   forget: (upstream: types.UpstreamId) => void
 }
@@ -48,12 +50,12 @@
     if (observed === undefined || typicalMsPerToken === undefined) return 1
     const rawFactor = observed.msPerToken / typicalMsPerToken
     if (rawFactor < settings.toleratedFactor) return 1
-    // Without new observations it fades, so that an upstream that has recovered is tried again.
+    // The factor decays without new observations, so that an upstream that has recovered is used again.
     const decay = 0.5 ** (Math.max(0, now - observed.at) / settings.halfLifeMs)
     return 1 + (rawFactor - 1) * decay
   }
 
-  /** Median of the others. */
+  /** Median time per token of the other upstreams. */
   function computeMedianOfOthers (upstream: types.UpstreamId): number | undefined {
     const others = [...observations].filter(([other]) => other !== upstream).map(([, { msPerToken }]) => msPerToken)
     others.sort((a, b) => a - b)
