--- a/packages/decide/place-call/src/candidate.ts
+++ b/packages/decide/place-call/src/candidate.ts
@@ -66,7 +66,7 @@
   readonly random: () => number
 }
 
-/** A candidate that was weighed, and at what costs. */
+/** A candidate that was considered, with its load and estimated cost. */
 export interface ConsideredCandidate {
   readonly upstream: types.UpstreamId
   /** Estimated number of calls that run or are queued there. */
