--- a/packages/decide/order-queue/src/heap.ts
+++ b/packages/decide/order-queue/src/heap.ts
@@ -1,4 +1,4 @@
-/** A binary heap whose entries may be dropped without a search. */
+/** A binary heap with lazy deletion: entries are marked as dropped without a search. */
 
 /** One entry; `dropped` entries are skipped when they reach the top. */
 export interface HeapEntry<T> {
@@ -9,7 +9,7 @@
   isDropped: boolean
 }
 
-/** Smallest key first. */
+/** A min-heap by key; ties are broken by order of arrival. */
 export class Heap<T> {
   readonly #entries: HeapEntry<T>[] = []
 
@@ -29,14 +29,14 @@
     return this.#entries[0]
   }
 
-  /** Forgets dropped entries, so that they do not pile up behind one that never reaches the top. */
+  /** Removes dropped entries, which otherwise accumulate behind an entry that never reaches the top. */
   compact (): void {
     const kept = this.#entries.filter((entry) => !entry.isDropped)
     this.#entries.length = 0
     for (const entry of kept) this.push(entry)
   }
 
-  /** Entries kept, dropped ones included. */
+  /** Number of entries, dropped ones included. */
   get length (): number {
     return this.#entries.length
   }
--- a/packages/decide/order-queue/src/index.ts
+++ b/packages/decide/order-queue/src/index.ts
@@ -1,4 +1,4 @@
-/** Decides the order in which waiting calls run. */
+/** Scheduling: decides the order in which queued calls run. */
 export * from './order-rule.js'
 export * from './order-queue.js'
 export * from './learn-remaining.js'
--- a/packages/decide/order-queue/src/learn-remaining.ts
+++ b/packages/decide/order-queue/src/learn-remaining.ts
@@ -1,4 +1,4 @@
-/** Learns, by kind and turns so far, what a program still has before it. */
+/** Learns the remaining work of programs by kind and number of finished turns. */
 import type * as types from '@eelgrasswind/types'
 
 /** One finished call of a program, as the estimator sees it. */
@@ -7,11 +7,11 @@
   readonly tokens: number
   /** Time that the call ran, in milliseconds. */
   readonly runMs: number
-  /** The same and the pause after it, without waiting in queues, in milliseconds. */
+  /** Run time plus the pause after the call, without queueing, in milliseconds. */
   readonly ms: number
 }
 
-/** What is expected of the rest of a program. */
+/** Expected remaining work of a program; times in milliseconds. */
 export interface RemainingWork {
   readonly calls: number
   readonly tokens: number
@@ -19,11 +19,11 @@
   readonly ms: number
   /** Mean absolute deviation of `ms`. */
   readonly msDeviation: number
-  /** Programs that the estimate rests on, recent ones counting most; 0 for the prior alone. */
+  /** Number of programs behind the estimate, at most `1 / newestShare`; 0 if it is the prior. */
   readonly samples: number
 }
 
-/** What is assumed of a kind of which nothing has been seen. */
+/** Estimate for a kind without observations. */
 export interface RemainingPrior {
   readonly calls: number
   readonly tokens: number
@@ -33,7 +33,7 @@
 
 export interface RemainingSettings {
   readonly prior: RemainingPrior
-  /** Share that the newest program has in an estimate, 0 to 1. */
+  /** Minimum weight of the newest program in an estimate, 0 to 1. */
   readonly newestShare: number
 }
 
@@ -42,10 +42,11 @@
   newestShare: 0.02
 }
 
+/** Estimates remaining work from finished programs. */
 export interface RemainingEstimator {
-  /** Learns from a program that ran to its end; its turns in order. */
+  /** Records a finished program; turns in order. */
   observe: (kind: types.KindId, turns: readonly TurnWork[]) => void
-  /** What a program of this kind has before it after so many turns; 0 asks for the whole. */
+  /** Remaining work of a program of this kind after a number of turns; 0 gives that of a whole program. */
   estimate: (kind: types.KindId, turns: number) => RemainingWork
 }
 
@@ -58,7 +59,7 @@
   samples: number
 }
 
-/** Turn counts up to this one have a mean of their own; above it they share one for each doubling. */
+/** Up to this number of turns each count has its own bucket; above it there is one per doubling. */
 const maxExactTurns = 16
 
 export function createRemainingEstimator (settings: RemainingSettings = defaultRemainingSettings): RemainingEstimator {
@@ -102,7 +103,7 @@
     const means = kinds.get(kind) ?? []
     for (let bucket = computeBucket(turns); bucket >= 0; bucket -= 1) {
       const mean = means[bucket]
-      // A program beyond all that were seen is expected to go on like the longest of them.
+      // A program with more turns than any observed one gets the estimate of the longest bucket.
       if (mean !== undefined) return { ...mean }
     }
     return { ...settings.prior, msDeviation: settings.prior.ms / 2, samples: 0 }
--- a/packages/decide/order-queue/src/order-queue.test.ts
+++ b/packages/decide/order-queue/src/order-queue.test.ts
@@ -48,7 +48,7 @@
   }
 })
 
-tap.test('weight counts as less slack, and late programs come last', async (t) => {
+tap.test('a higher weight counts as less slack, and late programs come last', async (t) => {
   const queue = orderQueue.createOrderQueue<string>({ type: 'weightedSlack', weightMs: 5_000, lateLast: true, starvationMs })
   queue.push(createItem('light', { deadline: 40_000 }))
   queue.push(createItem('heavy', { deadline: 48_000, weight: 4 }))
@@ -61,14 +61,14 @@
   t.equal(queue.pop(100)?.item.value, 'late')
 })
 
-tap.test('without lateLast a late program keeps its place', async (t) => {
+tap.test('without lateLast a late program keeps its position', async (t) => {
   const queue = orderQueue.createOrderQueue<string>({ type: 'weightedSlack', weightMs: 0, lateLast: false, starvationMs })
   queue.push(createItem('in time', { deadline: 40_000 }))
   queue.push(createItem('late', { deadline: 500 }))
   t.match(queue.pop(100), { item: { value: 'late' }, reason: { type: 'leastSlack', slackMs: -600 } })
 })
 
-tap.test('a call that waited past the bound goes before all that have not', async (t) => {
+tap.test('calls that waited longer than the starvation bound come before all others', async (t) => {
   const call = fc.record({
     deadline: fc.integer({ min: 0, max: 200_000 }),
     enqueuedAt: fc.integer({ min: 0, max: 100_000 }),
@@ -91,7 +91,7 @@
   }), { seed: 1, numRuns: 300 })
 })
 
-tap.test('every pushed call comes out once, unless removed', async (t) => {
+tap.test('every pushed call is returned exactly once, unless removed', async (t) => {
   const actions = fc.oneof(
     fc.record({ type: fc.constant('push' as const), deadline: fc.integer({ min: 0, max: 50_000 }) }),
     fc.record({ type: fc.constant('pop' as const) }),
@@ -120,7 +120,7 @@
   }), { seed: 2, numRuns: 200 })
 })
 
-tap.test('remaining work is learnt by kind and turns', async (t) => {
+tap.test('remaining work is learned by kind and number of turns', async (t) => {
   const estimator = learnRemaining.createRemainingEstimator({ prior: { calls: 9, tokens: 9, runMs: 9, ms: 9 }, newestShare: 0.05 })
   t.match(estimator.estimate(kind, 0), { calls: 9, tokens: 9, ms: 9, samples: 0 })
   const turn = { tokens: 100, runMs: 400, ms: 1_000 }
@@ -130,5 +130,5 @@
   t.ok(Math.abs(whole.msDeviation - 1_000) < 300, 'deviation of one call')
   t.equal(estimator.estimate(kind, 3).calls, 1)
   t.equal(estimator.estimate(kind, 3).runMs, 400)
-  t.equal(estimator.estimate(kind, 50).calls, 1, 'beyond all seen: like the longest')
+  t.equal(estimator.estimate(kind, 50).calls, 1, 'more turns than observed: the estimate of the longest program')
 })
--- a/packages/decide/order-queue/src/order-queue.ts
+++ b/packages/decide/order-queue/src/order-queue.ts
@@ -1,25 +1,26 @@
-/** A queue of waiting calls, ordered by a rule. Every operation takes logarithmic time. */
+/** A priority queue of waiting calls, ordered by a rule. Every operation takes logarithmic time. */
 import * as errors from '@eelgrasswind/errors'
 import * as heaps from './heap.js'
 import * as orderRule from './order-rule.js'
 
-/** A waiting call and what the owner of the queue keeps with it. */
+/** A waiting call with a value of the queue's user. */
 export interface WaitingItem<T> extends orderRule.WaitingCall {
   readonly value: T
 }
 
-/** A call taken from the queue, and why it was its turn. */
+/** A call taken from the queue, and why it was selected. */
 export interface TakenItem<T> {
   readonly item: WaitingItem<T>
   readonly reason: orderRule.OrderReason
 }
 
+/** A queue of waiting calls. Times are in milliseconds. */
 export interface OrderQueue<T> {
   readonly rule: orderRule.OrderRule
   readonly size: number
   /** Adds a call; the same object must not be in the queue already. */
   push: (item: WaitingItem<T>) => void
-  /** Takes the next call, or undefined when none waits. */
+  /** Removes and returns the next call; undefined if none waits. */
   pop: (now: number) => TakenItem<T> | undefined
   /** Removes a call that was pushed; false when it is no longer there. */
   remove: (item: WaitingItem<T>) => boolean
@@ -27,13 +28,13 @@
   items: () => Iterable<WaitingItem<T>>
 }
 
-/** Where one item stands: by rule, and by age. */
+/** The heap entries of one item: by rule and by age. */
 interface QueueEntry<T> {
   byRule: heaps.HeapEntry<WaitingItem<T>>
   readonly byAge: heaps.HeapEntry<WaitingItem<T>>
 }
 
-/** Dropped entries that a heap may keep beside the living ones. */
+/** Number of dropped entries that a heap may always keep before it is compacted. */
 const maxDroppedEntries = 64
 
 export function createOrderQueue<T> (rule: orderRule.OrderRule): OrderQueue<T> {
@@ -49,7 +50,7 @@
   }
 
   function push (item: WaitingItem<T>): void {
-    if (entries.has(item)) throw new Error('the item is in the queue already')
+    if (entries.has(item)) throw new Error('the item is already in the queue')
     const queueEntry = { byRule: createHeapEntry(computeKey(rule, item), item), byAge: createHeapEntry(item.enqueuedAt, item) }
     entries.set(item, queueEntry)
     inTime.push(queueEntry.byRule)
@@ -90,7 +91,7 @@
     return { item, reason: describeReason(rule, item, now) }
   }
 
-  /** Moves calls of programs that can no longer finish in time behind all others. */
+  /** Moves calls of programs that can no longer finish in time to the heap of late calls, which come after all others. */
   function moveLateCalls (now: number): void {
     for (let entry = inTime.peek(); entry !== undefined; entry = inTime.peek()) {
       if (orderRule.computeSlackMs(entry.item, now) >= 0) return
@@ -112,7 +113,7 @@
   }
 }
 
-/** Order among calls in time: the smallest goes first. */
+/** Sort key of calls in time; the smallest comes first. */
 function computeKey (rule: orderRule.OrderRule, call: orderRule.WaitingCall): number {
   switch (rule.type) {
     case 'fifo': return call.enqueuedAt
@@ -123,7 +124,7 @@
   }
 }
 
-/** Order among calls of late programs: least remaining time for its weight first. */
+/** Sort key of calls of late programs: the shortest remaining time relative to the weight comes first. */
 function computeLateKey (call: orderRule.WaitingCall): number {
   return call.expectedRemainingMs / call.weight
 }
--- a/packages/decide/order-queue/src/order-rule.ts
+++ b/packages/decide/order-queue/src/order-rule.ts
@@ -1,54 +1,55 @@
-/** The rules by which waiting calls are ordered. */
+/** Rules that order waiting calls. */
 import type * as types from '@eelgrasswind/types'
 
-/** What a rule may look at; times are in milliseconds on the clock that `pop` is given. */
+/** Properties of a waiting call that rules use; times are in milliseconds on the clock passed to `pop`. */
 export interface WaitingCall {
   readonly program: types.ProgramId
   readonly kind: types.KindId
   /** Weight of the program's kind, above 0; 1 is ordinary. */
   readonly weight: number
-  /** When the program has to be finished. */
+  /** Deadline of the program. */
   readonly deadline: number
   /** When the call began to wait. */
   readonly enqueuedAt: number
-  /** Tokens that the program has been served so far, prompt (not cached) and generated. */
+  /** Attained service: uncached prompt tokens and generated tokens of the program so far. */
   readonly attainedTokens: number
-  /** Expected time to the end of the program from now on if nothing waits, this call included, in milliseconds. */
+  /** Expected remaining time of the program without queueing, this call included, in milliseconds. */
   readonly expectedRemainingMs: number
 }
 
-/** A bound on starvation: a call that has waited this long goes before all that have not. */
+/** A bound on starvation: calls that have waited this long come before all others. */
 interface StarvationBound {
   readonly starvationMs: number
 }
 
+/** The configured order of the queue. */
 export type OrderRule =
-  /** First come, first served. */
+  /** First in, first out. */
   | { readonly type: 'fifo' }
   /** Earliest deadline of the program first. */
   | { readonly type: 'earliestDeadline' } & StarvationBound
-  /** The program that has been served the fewest tokens first. */
+  /** The program with the least attained service first. */
   | { readonly type: 'leastAttained' } & StarvationBound
   /**
    * Least slack (deadline less expected remaining time) first, where each doubling of the weight counts as
-   * `weightMs` less slack. With `lateLast`, programs that can no longer finish in time come after all that can.
+   * `weightMs` less slack. With `lateLast`, programs that can no longer finish in time come after all others.
    */
   | { readonly type: 'weightedSlack', readonly weightMs: number, readonly lateLast: boolean } & StarvationBound
 
-/** Why a call was taken from the queue. */
+/** Why a call was selected. */
 export type OrderReason =
   | { readonly type: 'oldest', readonly waitedMs: number }
   | { readonly type: 'starving', readonly waitedMs: number, readonly boundMs: number }
   | { readonly type: 'earliestDeadline', readonly leftMs: number }
   | { readonly type: 'leastAttained', readonly attainedTokens: number }
   | { readonly type: 'leastSlack', readonly slackMs: number, readonly weight: number }
-  /** It can no longer finish in time, and nothing that still can was waiting. */
+  /** The program can no longer finish in time, and no call of a program that still can was waiting. */
   | { readonly type: 'late', readonly slackMs: number, readonly weight: number }
 
-/** The rule in force where the configuration names none. */
+/** The rule that is used if the configuration sets none. */
 export const defaultOrderRule: OrderRule = { type: 'weightedSlack', weightMs: 20_000, lateLast: false, starvationMs: 180_000 }
 
-/** Time by which a program may still wait and finish in time, in milliseconds; negative when it is late already. */
+/** Slack: the time that a program can wait and still finish in time, in milliseconds; negative if it is already late. */
 export function computeSlackMs (call: WaitingCall, now: number): number {
   return call.deadline - now - call.expectedRemainingMs
 }
