--- a/packages/decide/limit-client/src/limit-client.test.ts
+++ b/packages/decide/limit-client/src/limit-client.test.ts
@@ -18,7 +18,7 @@
   grantLost: fc.boolean()
 }), { minLength: 50, maxLength: 300 })
 
-/** Requests taken, with their times, where every refused holder asks the owner. */
+/** Simulates holders that ask the owner when they refuse or renew; returns the taken amounts with their times. */
 function simulate (allSteps: readonly Step[], ownerChangesAt: number): Array<{ at: number, amount: number }> {
   let now = 0
   let owner = shareOwner.createShareOwner(limit, now, leaseMs)
@@ -50,31 +50,31 @@
   return maxExcess
 }
 
-tap.test('all holders together stay within the stated bound', async (t) => {
+tap.test('all holders together stay within the documented bound', async (t) => {
   fc.assert(fc.property(steps, (all) => computeMaxExcess(simulate(all, -1)) <= 2 * limit.burst + 1e-6), { seed: 1, numRuns: 300 })
 })
 
-tap.test('a change of owner adds no more than stated', async (t) => {
+tap.test('a change of owner adds no more than documented', async (t) => {
   const extra = limit.perSecond * leaseMs / 1000 + limit.burst
   fc.assert(fc.property(steps, (all) => computeMaxExcess(simulate(all, 25)) <= 2 * limit.burst + extra + 1e-6), { seed: 2, numRuns: 300 })
 })
 
-tap.test('a steady client gets its rate through one holder', async (t) => {
+tap.test('a steady client gets its full rate through one holder', async (t) => {
   const steady = Array.from({ length: 400 }, () => ({ waitMs: 50, holder: 0, amount: 1, grantLost: false }))
   const taken = simulate(steady, -1).length
   t.ok(taken >= 0.9 * 400, `took ${taken} of 400 at the limit's own rate`)
 })
 
-tap.test('a holder without a share refuses with a time to come back', async (t) => {
+tap.test('a holder without a share refuses with a retry-after time', async (t) => {
   const holder = shareHolder.createShareHolder(0)
   t.match(shareHolder.takeShare(holder, 1, 10).result, { type: 'limited', askOwner: true, retryAfterMs: 250 })
   const granted = shareHolder.applyGrant(holder, { perSecond: 2, burst: 1, credit: 0, leaseMs }, 10, 10)
   t.match(shareHolder.takeShare(granted, 1, 10).result, { type: 'limited', retryAfterMs: 500 })
   t.match(shareHolder.takeShare(granted, 1, 510).result, { type: 'taken' })
-  t.match(shareHolder.takeShare(granted, 1, 3_000).result, { type: 'limited' }, 'the lease has ended')
+  t.match(shareHolder.takeShare(granted, 1, 3_000).result, { type: 'limited' }, 'the lease has expired')
 })
 
-tap.test('retries are at most a part of first attempts', async (t) => {
+tap.test('retries are limited to a fraction of first attempts', async (t) => {
   let budget = retryBudget.createRetryBudget(retryBudget.processRetrySettings)
   let retries = 0
   for (let sent = 0; sent < 1_000; sent += 1) {
@@ -85,6 +85,6 @@
     }
   }
   t.ok(retries <= 100, `${retries} retries for 1,000 first attempts`)
-  t.ok(retries >= 80, 'and what was earned can be spent')
+  t.ok(retries >= 80, 'earned retries can be spent')
   t.throws(() => retryBudget.spendRetry(budget))
 })
--- a/packages/decide/limit-client/src/retry-budget.ts
+++ b/packages/decide/limit-client/src/retry-budget.ts
@@ -1,27 +1,28 @@
 /**
- * A budget of retries: each first attempt earns a part of a retry. Retries are at most
- * `ratio * firstAttempts + reserve`, whatever the upstreams do.
+ * A retry budget: each first attempt earns a fraction of a retry. Retries are at most
+ * `ratio * firstAttempts + reserve`, however many requests fail.
  */
 
+/** Settings of a retry budget. */
 export interface RetryBudgetSettings {
   /** Retries earned by each first attempt. */
   readonly ratio: number
-  /** Retries that may be made before any were earned. */
+  /** Retries that are available before any are earned. */
   readonly reserve: number
-  /** Most retries saved up. */
+  /** Maximum number of saved retries. */
   readonly most: number
 }
 
-/** Plain state; replaced, never changed. */
+/** Immutable state; every operation returns a new object. */
 export interface RetryBudget {
   readonly settings: RetryBudgetSettings
-  /** Retries that may be made now; a part of one does not count. */
+  /** Retries available now; a fraction of one can not be spent. */
   readonly retriesLeft: number
 }
 
-/** For all requests that a process sends. */
+/** Budget for all requests of a process. */
 export const processRetrySettings: RetryBudgetSettings = { ratio: 0.08, reserve: 3, most: 20 }
-/** For one program. */
+/** Budget for the requests of one program. */
 export const programRetrySettings: RetryBudgetSettings = { ratio: 0.1, reserve: 3, most: 5 }
 
 export function createRetryBudget (settings: RetryBudgetSettings): RetryBudget {
@@ -34,8 +35,8 @@
   return { ...budget, retriesLeft }
 }
 
-/** Spends a retry; call only after the decision to retry. */
+/** Spends a retry; throws if less than one is left. */
 export function spendRetry (budget: RetryBudget): RetryBudget {
-  if (budget.retriesLeft < 1) throw new Error('the retry budget is used up')
+  if (budget.retriesLeft < 1) throw new Error('the retry budget is exhausted')
   return { ...budget, retriesLeft: budget.retriesLeft - 1 }
 }
--- a/packages/decide/limit-client/src/share-owner.ts
+++ b/packages/decide/limit-client/src/share-owner.ts
@@ -1,37 +1,37 @@
 /**
- * The owner's side of a client's limit. One process owns a client's limit and lends shares of its rate to the
- * processes that take the client's requests.
+ * The owner's side of a client's limit. One process owns a client's limit and leases shares of its rate to the
+ * processes that accept the client's requests.
  *
  * Bound: under one owner, the requests taken by all holders in any `t` seconds are at most
- * `perSecond * t + 2 * burst`. A change of owner adds at most `perSecond * leaseMs / 1000 + burst` once, while
- * shares lent by the former owner run out.
+ * `perSecond * t + 2 * burst`. A change of owner adds at most `perSecond * leaseMs / 1000 + burst` once, until the
+ * leases of the former owner expire.
  */
 import type * as types from '@eelgrasswind/types'
 
 /** A client's limit, in requests or tokens. */
 export interface ClientLimit {
   readonly perSecond: number
-  /** What may be taken at once after a quiet time. */
+  /** Amount that may be taken at once after an idle time. */
   readonly burst: number
 }
 
-/** What a holder asks for. */
+/** A holder's request for a share. */
 export interface ShareRequest {
   readonly holder: types.HostId
-  /** Rate that it has lately been asked for. */
+  /** Rate of recent requests at the holder. */
   readonly wantedPerSecond: number
-  /** What it would need at once. */
+  /** Amount needed immediately. */
   readonly wantedCredit: number
 }
 
-/** A lease on part of the rate. */
+/** A lease of a part of the rate. */
 export interface ShareGrant {
   readonly perSecond: number
-  /** Most that the holder may save up. */
+  /** Capacity of the holder's bucket. */
   readonly burst: number
-  /** Added to the holder's bucket at once. */
+  /** Amount added to the holder's bucket immediately. */
   readonly credit: number
-  /** The share ends this long after it was asked for, in milliseconds. */
+  /** The lease ends this long after the request, in milliseconds. */
   readonly leaseMs: number
 }
 
@@ -40,25 +40,25 @@
   readonly expiresAt: number
 }
 
-/** Plain state of the owner; replaced, never changed. */
+/** Immutable state of the owner; every operation returns a new object. Times are in milliseconds. */
 export interface ShareOwner {
   readonly limit: ClientLimit
   readonly leaseMs: number
   readonly leases: ReadonlyMap<types.HostId, Lease>
-  /** Saved from the rate that nobody holds. */
+  /** Amount accumulated from the part of the rate that is not leased. */
   readonly level: number
   readonly at: number
 }
 
 export const defaultShareLeaseMs = 2_000
-/** Share of the rate that a holder is lent at least while some is left, so that a first request finds it. */
+/** Minimum share of the rate that is leased to a holder while some is left, so that a first request can be accepted. */
 const minShareFraction = 0.01
 
 export function createShareOwner (limit: ClientLimit, now: number, leaseMs = defaultShareLeaseMs): ShareOwner {
   return { limit, leaseMs, leases: new Map(), level: limit.burst, at: now }
 }
 
-/** Answers a request for a share. The leases of all holders together never exceed the limit's rate. */
+/** Grants a lease. The leases of all holders together never exceed the limit's rate. */
 export function grantShare (owner: ShareOwner, request: ShareRequest, now: number): { readonly owner: ShareOwner, readonly grant: ShareGrant } {
   const filled = refill(owner, now)
   const others = new Map([...filled.leases].filter(([holder, lease]) => holder !== request.holder && lease.expiresAt > now))
@@ -76,7 +76,7 @@
   }
 }
 
-/** Adds what nobody held since the last change; a lease that ended meanwhile counts as held throughout. */
+/** Adds what was not leased since the last update; a lease that expired in between counts as held the whole time. */
 function refill (owner: ShareOwner, now: number): ShareOwner {
   const leasedRate = sumRates(owner.leases)
   const seconds = Math.max(0, now - owner.at) / 1000
@@ -84,13 +84,13 @@
   return { ...owner, at: Math.max(now, owner.at), level: Math.min(owner.limit.burst, owner.level + free * seconds) }
 }
 
-/** What is wanted, up to what is free, and a fair part where more is wanted than there is. */
+/** Computes the rate to lease: the wanted rate up to what is free, or a fair share if more is wanted than available. */
 function computeShare (owner: ShareOwner, others: ReadonlyMap<types.HostId, Lease>, request: ShareRequest): number {
   const rate = owner.limit.perSecond
   const free = Math.max(0, rate - sumRates(others))
   const fair = rate / (others.size + 1)
   const wanted = Math.max(request.wantedPerSecond, rate * minShareFraction)
-  // Room is left for the holders below their fair part to grow into.
+  // Leaves a part of the rate free for holders that are below their fair share.
   const maxRate = free > fair ? Math.max(fair, free / 2) : free
   return Math.min(wanted, maxRate)
 }
