--- a/packages/decide/decide-retry/src/decide-retry.test.ts
+++ b/packages/decide/decide-retry/src/decide-retry.test.ts
@@ -66,7 +66,7 @@
   }
 }
 
-tap.test('never repeats a request that is not idempotent unless it did not run', async (t) => {
+tap.test('a request that is not idempotent is retried only if it did not run', async (t) => {
   let retries = 0
   fc.assert(fc.property(inputs, (input) => {
     const decision = decideRetry.decideRetry(input)
@@ -74,10 +74,10 @@
     retries += 1
     return input.idempotent || input.failure.verdict === 'notRun'
   }), { seed: 1, numRuns: 5_000 })
-  t.ok(retries > 100, 'the property saw retries')
+  t.ok(retries > 100, 'the inputs include retries')
 })
 
-tap.test('retries stay within budgets, attempts and the deadline', async (t) => {
+tap.test('retries stay within the budgets, the attempts and the deadline', async (t) => {
   fc.assert(fc.property(inputs, (input) => {
     const decision = decideRetry.decideRetry(input)
     if (decision.type === 'giveUp') return true
@@ -95,7 +95,7 @@
   t.match(decideRetry.decideRetry(createInput({ failure: clientError })), { type: 'giveUp', reason: 'permanent' })
 })
 
-tap.test('gives the reason and waits longer each time', async (t) => {
+tap.test('a decision has a reason, and the backoff grows with each attempt', async (t) => {
   t.same(decideRetry.decideRetry(createInput({})), { type: 'retry', afterMs: 60, reason: 'transient' })
   t.same(decideRetry.decideRetry(createInput({ attempt: 3 })), { type: 'retry', afterMs: 210, reason: 'transient' })
   const reasons = [
--- a/packages/decide/decide-retry/src/decide-retry.ts
+++ b/packages/decide/decide-retry/src/decide-retry.ts
@@ -1,14 +1,15 @@
 /**
- * Decides whether a failed request is sent again. A request that is not idempotent is sent again only when it
- * certainly did not run; nothing is sent again past its deadline or beyond the retry budgets.
+ * Decides whether a failed request is retried. A request that is not idempotent is retried only if it certainly did not
+ * run; no request is retried after its deadline or when a retry budget is exhausted.
  */
 import * as errors from '@eelgrasswind/errors'
 
-/** Retries that a budget still allows. */
+/** Number of retries that a budget still allows. */
 export interface RetryAllowance {
   readonly retriesLeft: number
 }
 
+/** Input of one decision; times in milliseconds. */
 export interface RetryInput {
   readonly failure: errors.Failure
   readonly idempotent: boolean
@@ -17,33 +18,35 @@
   readonly programBudget: RetryAllowance
   readonly processBudget: RetryAllowance
   readonly now: number
-  /** When the request has to be answered, on the clock of `now`, in milliseconds. */
+  /** Deadline of the response, on the clock of `now`. */
   readonly deadline: number
-  /** From 0 up to, but without, 1. */
+  /** Uniform in [0, 1). */
   readonly random: () => number
 }
 
+/** Limits of attempts and backoff. */
 export interface RetrySettings {
   readonly maxAttempts: number
-  /** Longest wait before the second attempt; it doubles with each further one. */
+  /** Maximum backoff before the second attempt; it doubles with each further one, up to `maxWaitMs`. */
   readonly firstWaitMs: number
   readonly maxWaitMs: number
 }
 
 export const defaultRetrySettings: RetrySettings = { maxAttempts: 4, firstWaitMs: 100, maxWaitMs: 5_000 }
 
-/** Why a request is not sent again. */
+/** Why a request is not retried. */
 export type GiveUpReason =
   /** The same request would fail in the same way. */
   | 'permanent'
-  /** It is not idempotent and may have run, or ran. */
+  /** The request is not idempotent and ran or may have run. */
   | 'mayRepeat'
   | 'attemptsUsed'
   | 'programBudgetUsed'
   | 'processBudgetUsed'
-  /** The next attempt would begin after the deadline. */
+  /** The next attempt would start after the deadline. */
   | 'deadline'
 
+/** The decision; `afterMs` is the backoff before the next attempt. */
 export type RetryDecision =
   | { readonly type: 'retry', readonly afterMs: number, readonly reason: 'transient' }
   | { readonly type: 'giveUp', readonly reason: GiveUpReason }
@@ -64,14 +67,14 @@
   return { type: 'giveUp', reason }
 }
 
-/** Exponential backoff with jitter, but never before the time that the failure names. */
+/** Exponential backoff with jitter, added to the retry-after time of the failure. */
 function computeBackoffMs (input: RetryInput, settings: RetrySettings): number {
   const maxBackoffMs = Math.min(settings.maxWaitMs, settings.firstWaitMs * 2 ** (input.attempt - 1))
   const backoffMs = maxBackoffMs / 2 + input.random() * maxBackoffMs / 2
   return Math.round((errors.retryAfterMs(input.failure) ?? 0) + backoffMs)
 }
 
-/** Whether another attempt, perhaps elsewhere, may end otherwise. */
+/** Whether another attempt, possibly at another upstream, may succeed. */
 export function isTransient (failure: errors.Failure): boolean {
   switch (failure.tag) {
     case 'invalidRequest':
@@ -90,12 +93,12 @@
     case 'cancelled':
     case 'internal':
       return false
-    // Final and at once: the caller is told when to come back.
+    // Not retried here: the caller gets the failure immediately, with a retry-after time.
     case 'notAdmitted':
     case 'clientLimited':
     case 'overloaded':
       return false
-    // A second attempt would wait as long as the first one; the time is spent.
+    // A second attempt would wait as long as the first one, and that time is used up.
     case 'timeout':
       return false
     case 'inProgress':
--- a/packages/decide/decide-retry/src/index.ts
+++ b/packages/decide/decide-retry/src/index.ts
@@ -1,2 +1,2 @@
-/** The one place that decides whether a failed request may be retried. */
+/** The only place that decides whether a failed request may be retried. */
 export * from './decide-retry.js'
