--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -1,47 +1,50 @@
-/** Decides how long a prefix stays held when a program's call has ended. */
+/** Decides how long a cached prefix is held, that is protected from eviction, after a call of its program has ended. */
 import * as errors from '@eelgrasswind/errors'
 import type * as learnPauses from './learn-pauses.js'
 
+/** The configured rule for holds. */
 export type HoldRule =
   /** Hold until the program finishes or its deadline passes. */
   | { readonly type: 'always' }
   | { readonly type: 'never' }
   | { readonly type: 'fixed', readonly holdMs: number }
-  /** The hold with the least expected waste, from the pauses seen by kind; `fallbackMs` until `minSamples` were seen. */
+  /** The hold with the least expected waste, from the observed pauses of the kind; `fallbackMs` before `minSamples` observations. */
   | { readonly type: 'learnt', readonly fallbackMs: number, readonly minSamples: number, readonly maxMs: number }
 
-/** What a hold is decided from. */
+/** Input of one decision. */
 export interface HoldInput {
   /** Tokens of the prefix. */
   readonly prefixTokens: number
   readonly pauses: learnPauses.PauseStats
-  /** Time to the program's deadline, in milliseconds; no hold is longer. */
+  /** Time left until the program's deadline, in milliseconds; an upper bound of the hold. */
   readonly leftMs: number
-  /** Time that an unheld prefix survives in the engine's cache, in milliseconds; infinite while nothing is evicted. */
+  /** Time until an unheld prefix is evicted from the engine's cache, in milliseconds; infinite while nothing is evicted. */
   readonly survivalMs: number
 }
 
+/** Why a hold has its length. */
 export type HoldReason =
   | { readonly type: 'rule' }
-  /** Too few pauses of the kind were seen. */
+  /** Too few pauses of the kind were observed. */
   | { readonly type: 'fewSamples', readonly samples: number }
-  /** Unheld prefixes survive longer than most pauses: a hold would only cost. */
+  /** Nothing is evicted: a hold would only have a cost. */
   | { readonly type: 'cacheLargeEnough' }
-  /** Least expected waste, in tokens computed again. */
+  /** The hold with the least expected waste, in recomputed tokens. */
   | { readonly type: 'leastWaste', readonly expectedWaste: number, readonly returnShare: number }
   | { readonly type: 'deadlinePassed' }
 
+/** A decided hold. */
 export interface Hold {
-  /** How long to hold, in milliseconds; 0 releases at once. */
+  /** Length of the hold in milliseconds; 0 releases the prefix immediately. */
   readonly holdMs: number
   readonly reason: HoldReason
 }
 
-/** For engines that evict by last use: they keep a prefix through most pauses by themselves. */
+/** Default for engines with LRU eviction, which keep a prefix through most pauses by themselves. */
 export const defaultHoldRule: HoldRule = { type: 'never' }
 export const learntHoldRule: HoldRule = { type: 'learnt', fallbackMs: 10_000, minSamples: 20, maxMs: 600_000 }
 
-/** Waste of one token held for one second for a program that never returns, in tokens computed again. */
+/** Cost of holding one token for one second for a program that never returns, in recomputed tokens. */
 const wastePerTokenSecond = 1
 
 export function decideHold (rule: HoldRule, input: HoldInput): Hold {
@@ -74,11 +77,11 @@
   }
 }
 
-/** Expected waste of a hold, for each token of the prefix. */
+/** Expected waste of a hold per token of the prefix. */
 function computeExpectedWaste (holdMs: number, input: HoldInput): number {
   const { edgesMs, returned, gone } = input.pauses
   const survivesMs = Math.max(holdMs, input.survivalMs)
-  // While a token is held, another one that would have survived as long is evicted in its place.
+  // A token held longer than the survival time displaces another one, which is evicted in its place.
   const displacementWaste = sum(returned) * 1000 / input.survivalMs
   let waste = 0
   edgesMs.forEach((edge, at) => {
--- a/packages/decide/retain-prefix/src/eviction-age.ts
+++ b/packages/decide/retain-prefix/src/eviction-age.ts
@@ -1,15 +1,16 @@
-/** Learns how long an unheld prefix survives in an engine's cache, from the evictions that it reports. */
+/** Learns how long an unheld prefix stays in an engine's cache, from the evictions that the engine reports. */
 
+/** Tracks the age of evicted prefixes. Times are in milliseconds. */
 export interface EvictionAgeTracker {
-  /** A prefix was evicted so long after its last use. */
+  /** Records that a prefix was evicted `ageMs` after its last use. */
   observe: (ageMs: number, now: number) => void
-  /** Time that an unheld prefix survives; infinite while nothing is being evicted. */
+  /** Mean time until an unheld prefix is evicted; infinite while nothing is evicted. */
   getSurvivalMs: (now: number) => number
 }
 
 /** Weight of the newest eviction. */
 const newestShare = 0.1
-/** Without evictions for so long, the cache counts as large enough. */
+/** After this time without evictions the cache counts as large enough. */
 const evictionIdleMs = 60_000
 
 export function createEvictionAgeTracker (): EvictionAgeTracker {
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -1,30 +1,31 @@
-/** Learns, by kind, how long programs pause between calls and how many never return. */
+/** Learns by kind how long programs pause between calls and what share never returns. */
 import type * as types from '@eelgrasswind/types'
 
-/** How the pauses of a kind are spread. */
+/** Distribution of the pauses of a kind. */
 export interface PauseStats {
-  /** Pauses seen, recent ones counting most. */
+  /** Number of observed pauses; older ones count less. */
   readonly samples: number
   /** Upper edges of the buckets, in milliseconds, ascending. */
   readonly edgesMs: readonly number[]
-  /** Share of all pauses that ended by a return, by bucket. */
+  /** Share of all pauses that ended with another call, by bucket. */
   readonly returned: readonly number[]
-  /** Share of all pauses after which the program never returned, by the time at which that became known. */
+  /** Share of all pauses after which the program made no further call, by the time at which that became known. */
   readonly gone: readonly number[]
 }
 
 /** How one pause ended. */
 export type PauseEnd =
   | { readonly type: 'returned', readonly afterMs: number }
-  /** The program finished, was cancelled or expired meanwhile. */
+  /** The program finished, was cancelled or expired during the pause. */
   | { readonly type: 'gone', readonly afterMs: number }
 
+/** Learns the distribution of pauses by kind. */
 export interface PauseLearner {
   observe: (kind: types.KindId, end: PauseEnd) => void
   getStats: (kind: types.KindId) => PauseStats
 }
 
-/** Counts by bucket. */
+/** Observed pauses of one kind, by bucket. */
 interface PauseCounts {
   returned: number[]
   gone: number[]
@@ -34,7 +35,7 @@
 /** Bucket edges: a quarter of a second, doubling, up to about 17 minutes. */
 export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, at) => 250 * 2 ** at)
 
-/** Sample count at which older pauses begin to fade. */
+/** Number of samples at which all counts are halved, so that older pauses count less. */
 const maxSamples = 400
 
 export function createPauseLearner (): PauseLearner {
