--- a/packages/decide/membership/src/index.ts
+++ b/packages/decide/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which hosts are live, leaving or suspect, from the host list and from what calls show. */
+/** Membership and failure detection: which hosts are live, leaving, suspect or gone, from the host list and the results of calls. */
 export * from './settings.js'
 export * from './membership.js'
 export * from './select-hosts.js'
--- a/packages/decide/membership/src/member.ts
+++ b/packages/decide/membership/src/member.ts
@@ -1,37 +1,37 @@
-/** What one process knows of one host, and the state that follows from it. */
+/** The facts that this process has about one host, and the state derived from them. */
 import type * as types from '@eelgrasswind/types'
 import type * as config from './settings.js'
 
-/** State of a host in the view of one process. */
+/** State of a host from the viewpoint of one process. */
 export type HostState =
-  /** May get new work. */
+  /** Gets new work. */
   | 'live'
-  /** Finishes what it has; gets no new work. */
+  /** Drains: finishes its work and gets no new work. */
   | 'leaving'
-  /** Did not answer, or came and went too often; gets no new work from this process. */
+  /** Did not respond, or recovered too often (flapping); gets no new work from this process. */
   | 'suspect'
   /** No longer in the host list. */
   | 'gone'
 
-/** Earlier incarnations that are remembered, so that their late answers are told apart. */
+/** Number of former incarnations that are kept, to recognize their late responses. */
 const maxEarlierIncarnations = 4
 
-/** Facts about one host. Times are in milliseconds of the caller's clock. */
+/** Facts about one host. Times are in milliseconds on the caller's clock. */
 export interface Member {
   entry: types.HostEntry
-  /** State in the view now in force; undefined before the first batch that holds the host. */
+  /** State in the current view; undefined before the first batch with the host. */
   publishedState: HostState | undefined
-  /** Since when the list has not named it; undefined while it does. */
+  /** Since when the host list lacks it; undefined while it is listed. */
   missingSince: number | undefined
-  /** Whether the list that dropped it was doubted. */
+  /** Whether the list that removed it lost implausibly many hosts. */
   isMissingDoubted: boolean
   incarnation: types.Incarnation | undefined
   earlierIncarnations: types.Incarnation[]
-  /** When it was last heard to be leaving; undefined while it is not. */
+  /** When it last reported to be leaving; undefined while it is not. */
   leavingAt: number | undefined
-  /** Failures since the last answer. */
+  /** Failures since the last response. */
   failures: number
-  /** When it became live again, within the flap window. */
+  /** Times at which it became live again, within the flap window. */
   recoveredAt: number[]
   nextProbeAt: number
   probeBackoffMs: number
@@ -53,7 +53,7 @@
   }
 }
 
-/** Takes note of the incarnation that answered; false if the answer is from an earlier one and says nothing of today. */
+/** Records the incarnation that responded; false if the response is from a former one and has to be ignored. */
 export function acceptIncarnation (member: Member, incarnation: types.Incarnation): boolean {
   if (member.incarnation === incarnation) return true
   if (member.earlierIncarnations.includes(incarnation)) return false
@@ -65,7 +65,7 @@
   return true
 }
 
-/** Whether the list has left it out for long enough. */
+/** Whether the list has lacked it for long enough. */
 function isGone (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.missingSince === undefined) return false
   const isReachable = member.isMissingDoubted && member.failures === 0
@@ -77,14 +77,14 @@
   return member.leavingAt !== undefined && now - member.leavingAt < settings.leavingMs
 }
 
-/** Whether it may become live again without exceeding the bound on returns. */
+/** Whether it can become live again within the bound on recoveries. */
 function canRecover (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.publishedState === undefined || member.publishedState === 'live') return true
   member.recoveredAt = member.recoveredAt.filter((at) => now - at < settings.flapWindowMs)
   return member.recoveredAt.length < settings.maxRecoveries
 }
 
-/** The state that the facts call for now. */
+/** Derives the state from the facts. */
 export function computeState (member: Member, settings: config.MembershipSettings, now: number): HostState {
   if (isGone(member, settings, now)) return 'gone'
   if (isLeaving(member, settings, now)) return 'leaving'
@@ -92,7 +92,7 @@
   return canRecover(member, settings, now) ? 'live' : 'suspect'
 }
 
-/** Puts a state into force; true if it is another one. */
+/** Sets the state in the view; true if it changed. */
 export function publishState (member: Member, state: HostState, now: number): boolean {
   if (member.publishedState === state) return false
   if (state === 'live' && member.publishedState !== undefined) member.recoveredAt.push(now)
@@ -100,12 +100,12 @@
   return true
 }
 
-/** Whether nothing about it can change by time alone. */
+/** Whether its state can only change by a new event, not by time alone. */
 export function isSettled (member: Member): boolean {
   return member.publishedState === 'live' && member.failures === 0 && member.missingSince === undefined && member.leavingAt === undefined
 }
 
-/** Whether it has been gone for so long that it may be forgotten. */
+/** Whether it has been gone for so long that it can be removed. */
 export function isForgettable (member: Member, settings: config.MembershipSettings, now: number): boolean {
   return member.publishedState === 'gone' && member.missingSince !== undefined && now - member.missingSince >= settings.flapWindowMs
 }
--- a/packages/decide/membership/src/membership.test.ts
+++ b/packages/decide/membership/src/membership.test.ts
@@ -45,7 +45,7 @@
 
 const selectAll = (): selectHosts.HostSelector => selectHosts.createHostSelector(() => true)
 
-tap.test('a failure takes effect at the next batch and an answer ends it', async (t) => {
+tap.test('a failure takes effect at the next batch, and so does the recovery', async (t) => {
   const table = createTable()
   table.noteFailure(h0, 100)
   t.equal(getState(table, h0), 'live')
@@ -57,21 +57,21 @@
   t.equal(getState(table, h0), 'live')
 })
 
-tap.test('a leaving host gets no new work at once, until another incarnation answers', async (t) => {
+tap.test('a leaving host immediately gets no new work, until another incarnation responds', async (t) => {
   const table = createTable()
   table.noteAnswer(h0, first, false, 10)
   table.noteLeaving(h0, 20)
   t.equal(getState(table, h0), 'leaving')
   table.noteAnswer(h0, first, false, 30)
   table.tick(1_000)
-  t.equal(getState(table, h0), 'leaving', 'a crossed answer of the same incarnation changes nothing')
+  t.equal(getState(table, h0), 'leaving', 'a late response of the same incarnation changes nothing')
   table.noteAnswer(h0, second, false, 1_500)
   table.noteAnswer(h0, first, true, 1_600)
   table.tick(2_000)
-  t.equal(getState(table, h0), 'live', 'a late answer of the earlier incarnation says nothing of the new one')
+  t.equal(getState(table, h0), 'live', 'a late response of the former incarnation is ignored')
 })
 
-tap.test('an empty or older list changes nothing', async (t) => {
+tap.test('an empty list or one of a lower version changes nothing', async (t) => {
   const table = createTable()
   const before = table.getView()
   table.applyHostList(createList(9, []), 1_000)
@@ -80,7 +80,7 @@
   t.equal(table.getView(), before)
 })
 
-tap.test('a list that starts its versions anew is taken after a while, one late list is not', async (t) => {
+tap.test('a list with restarted versions is applied after some time, a single late list is not', async (t) => {
   const table = createTable(2)
   const restarted = createList(0, [createEntry(h0, 'leaving'), createEntry('h1' as types.HostId)])
   let now = settings.staleListMs
@@ -92,7 +92,7 @@
   t.equal(getState(table, h0), 'leaving')
 })
 
-tap.test('a list that loses most hosts keeps those that do not fail for longer', async (t) => {
+tap.test('hosts missing from a list that lost most hosts are kept longer unless they fail', async (t) => {
   const table = createTable(4)
   table.applyHostList(createList(2, [createEntry('h3' as types.HostId)]), 0)
   table.noteFailure('h1' as types.HostId, 0)
@@ -103,7 +103,7 @@
   t.equal(getState(table, h0), 'gone')
 })
 
-tap.test('a host that the list drops is gone after the grace, and forgotten in the end', async (t) => {
+tap.test('a host missing from the list is gone after the grace period and later removed', async (t) => {
   const table = createTable(4)
   table.applyHostList(createList(2, hostNames(4).slice(1).map((host) => createEntry(host))), 0)
   table.tick(settings.missingMs - 1)
@@ -114,7 +114,7 @@
   t.equal(getState(table, h0), undefined)
 })
 
-tap.test('the view and its selections stay the same objects while nothing changes', async (t) => {
+tap.test('the view and its selections keep their identity while nothing changes', async (t) => {
   const table = createTable()
   const select = selectAll()
   const view = table.getView()
@@ -128,7 +128,7 @@
   t.equal(select(table.getView()), hosts)
 })
 
-tap.test('probes are few a batch, and less often for each host', async (t) => {
+tap.test('probes are limited per batch, with backoff per host', async (t) => {
   const table = createTable(20)
   for (const host of hostNames(20)) table.noteFailure(host, 0)
   table.tick(settings.batchMs)
@@ -142,19 +142,19 @@
   t.ok(sent >= perHost && sent <= perHost + 20 * 5, `${sent} probes`)
 })
 
-tap.test('a process that reaches almost nobody doubts itself', async (t) => {
+tap.test('a process that reaches almost no host also selects suspect ones', async (t) => {
   const table = createTable(9)
   const select = selectAll()
   for (const host of hostNames(9).slice(0, 6)) table.noteFailure(host, 0)
   table.tick(1_000)
-  t.equal(select(table.getView()).length, 3, 'losing two thirds is believed')
+  t.equal(select(table.getView()).length, 3, 'the loss of two thirds is accepted')
   table.noteFailure('h6' as types.HostId, 1_500)
   table.noteLeaving('h7' as types.HostId, 1_500)
   table.tick(2_000)
   t.equal(select(table.getView()).length, 8, 'all but the leaving one')
 })
 
-tap.test('reading the host list costs no more bytes a second in a large fleet', async (t) => {
+tap.test('the bytes per second read for the host list are bounded in large fleets', async (t) => {
   t.equal(pollInterval.computeHostListPollMs(29, 1_000), 1_000)
   for (const hosts of [30, 370, 2_000]) {
     const bytes = JSON.stringify(createList(1, hostNames(hosts).map((host) => createEntry(host)))).length
@@ -189,7 +189,7 @@
   }
 }
 
-/** Runs events with a tick each second of a pause; calls back after every step. */
+/** Runs events, with a tick every second of a pause; calls `onStep` after every step. */
 function runEvents (events: readonly Event[], onStep: (table: membership.Membership, now: number, event: Event | 'tick') => void): void {
   const table = createTable(hostCount)
   let now = 0
@@ -204,7 +204,7 @@
   }
 }
 
-tap.test('whatever happens, a dead host is not live after the next batch', async (t) => {
+tap.test('for any events, a failed host is not live after the next batch', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { maxLength: 60 }), (events) => {
     const failedAt = new Map<string, number>()
     runEvents(events, (table, now, event) => {
@@ -219,7 +219,7 @@
   t.pass('500 runs')
 })
 
-tap.test('whatever happens, one host comes back a bounded number of times and the version follows the view', async (t) => {
+tap.test('for any events, recoveries of a host are bounded and the version changes with the view', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { minLength: 40, maxLength: 200 }), (events) => {
     let last = new Map<string, string>()
     let lastVersion = 0
@@ -242,7 +242,7 @@
   t.pass('300 runs')
 })
 
-tap.test('a flapping host moves at most its share, 2 * maxReturns + 1 times a window', async (t) => {
+tap.test('a flapping host moves only its own programs, 2 * maxRecoveries + 1 times per window', async (t) => {
   const homes = await chooseHome.createHomeChooser()
   const programs = Array.from({ length: 2_000 }, (_, index) => `p${index}` as types.ProgramId)
   const table = createTable(20)
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -1,11 +1,12 @@
 /**
- * Which hosts one process holds for live, leaving, suspect or gone.
+ * The membership table of one process: which hosts are live, leaving, suspect or gone.
  *
- * The platform's host list is the base; what calls show comes on top. Bounds, held by the tests:
- * - a host that fails is offered no work after the next batch (`batchMs`), by each process that saw the failure;
- * - a host that says it is leaving is offered none from that moment, by each process that heard it;
- * - one host becomes live again at most `maxReturns` times in any `flapWindowMs`;
- * - an empty list changes nothing, and one that loses many hosts at once removes none of them that answers before `massLossMs`.
+ * It combines the platform's host list with the results of calls. Guarantees, verified by the tests:
+ * - a process that saw a host fail sends it no new work after the next batch (`batchMs`);
+ * - a process that was told that a host is leaving sends it no new work from that moment;
+ * - a host becomes live again at most `maxRecoveries` times in any `flapWindowMs`;
+ * - an empty list changes nothing, and one that loses many hosts at once removes none of them that responds before
+ *   `massLossMs`.
  */
 import type * as types from '@eelgrasswind/types'
 import * as members from './member.js'
@@ -16,13 +17,13 @@
 export interface MemberHost {
   readonly entry: types.HostEntry
   readonly state: members.HostState
-  /** The incarnation that last answered, if any has. */
+  /** The incarnation that last responded, if any. */
   readonly incarnation: types.Incarnation | undefined
 }
 
-/** An immutable picture of the membership; another object only if something in it changed. */
+/** An immutable snapshot of the membership; a new object only if something in it changed. */
 export interface MembershipView {
-  /** Grows by one with every change; a number of this process alone. */
+  /** Incremented with every change; local to this process. */
   readonly version: number
   /** Sorted by host id. */
   readonly hosts: readonly MemberHost[]
@@ -32,25 +33,26 @@
   readonly settings: config.MembershipSettings
   /** The host of this process; never suspect to itself. */
   readonly self: types.HostId
-  /** Milliseconds of a clock that never goes back; all other calls take the same clock. */
+  /** Milliseconds on a monotonic clock; all other calls use the same clock. */
   readonly now: number
 }
 
+/** The membership table of this process. */
 export interface Membership {
-  /** Takes a host list; empty ones and ones of a lower version are ignored. */
+  /** Applies a host list; empty lists and lists of a lower version are ignored. */
   applyHostList: (list: types.HostList, now: number) => void
-  /** Any answer of a host is a heartbeat. */
+  /** Records a response of a host; every response counts as a heartbeat. */
   noteAnswer: (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number) => void
-  /** A connection to the host failed, or no answer came in time. */
+  /** Records a failed connection to the host or a timeout. */
   noteFailure: (host: types.HostId, now: number) => void
-  /** The host said that it is leaving, as its present incarnation. In force at once. */
+  /** Records that the current incarnation of the host is leaving. Takes effect immediately. */
   noteLeaving: (host: types.HostId, now: number) => void
-  /** Puts the changes of a batch interval into force; true if the view changed. Call at least once every `batchMs`. */
+  /** Applies the changes of a batch interval to the view; true if it changed. Call at least once every `batchMs`. */
   tick: (now: number) => boolean
   getView: () => MembershipView
-  /** Suspect hosts to send a small request now, at most `probesPerBatch`, with a growing pause for each host. */
+  /** Returns the suspect hosts to probe now, at most `probesPerBatch`, with exponential backoff per host. */
   takeProbes: (now: number) => types.HostId[]
-  /** When the last host list was taken; undefined before the first. */
+  /** Returns when the last host list was applied; undefined before the first. */
   getListAppliedAt: () => number | undefined
 }
 
@@ -61,11 +63,11 @@
 
 export function createMembership ({ settings, self, now: startedAt }: MembershipOptions): Membership {
   const membersByHost = new Map<types.HostId, members.Member>()
-  /** Hosts whose state may differ at the next batch; a tick costs as many steps. */
+  /** Hosts whose state may change at the next batch; the cost of a batch is proportional to their number. */
   const unsettled = new Set<members.Member>()
   let listVersion: number | undefined
   let listAppliedAt: number | undefined
-  /** Lists of a lower version since the last one taken. */
+  /** Lists of a lower version since the last applied one. */
   let staleLists = 0
   let lastBatchAt = startedAt
   let haveEntriesChanged = false
--- a/packages/decide/membership/src/plan-reports.test.ts
+++ b/packages/decide/membership/src/plan-reports.test.ts
@@ -24,7 +24,7 @@
   })
 }
 
-tap.test('messages of a process in an interval do not grow with the fleet', async (t) => {
+tap.test('the messages of a process per interval do not grow with the fleet', async (t) => {
   for (const count of [1, 6, 230, 1_000]) {
     const hosts = hostNames(count)
     const requestsByPeer = new Map<types.HostId, number>()
@@ -42,7 +42,7 @@
   }
 })
 
-tap.test('every report reaches the one root in few steps, and children agree with parents', async (t) => {
+tap.test('every report reaches the only root in at most three steps, and children and parents agree', async (t) => {
   const hosts = hostNames(230)
   const plans = new Map(hosts.map((host) => [host, createPlan(host, hosts)]))
   const roots = hosts.filter((host) => plans.get(host)!.parent === undefined)
@@ -60,14 +60,14 @@
   t.equal(maxDepth, 3)
 })
 
-tap.test('all peers are asked in turn', async (t) => {
+tap.test('all peers are asked in rotation', async (t) => {
   const hosts = hostNames(9)
   const plan = createPlan(hosts[0]!, hosts)
   const asked = [0, 1, 2, 3].flatMap((interval) => plan.getPeers(interval))
   t.same([...asked].sort(), hosts.slice(1))
 })
 
-tap.test('reports never run in a circle, whatever each process believes', async (t) => {
+tap.test('reports never form a cycle, whatever the views of the processes are', async (t) => {
   const views = fc.array(fc.subarray(hostNames(12), { minLength: 1 }), { minLength: 12, maxLength: 12 })
   fc.assert(fc.property(views, (believed) => {
     const parents = new Map(hostNames(12).map((host, index) => [host, createPlan(host, believed[index]!).parent]))
@@ -75,7 +75,7 @@
       let steps = 0
       for (let at = parents.get(host); at !== undefined; at = parents.get(at)) {
         steps += 1
-        assert.ok(steps < 12, 'a circle')
+        assert.ok(steps < 12, 'a cycle')
       }
     }
   }), { seed: 21, numRuns: 300 })
--- a/packages/decide/membership/src/plan-reports.ts
+++ b/packages/decide/membership/src/plan-reports.ts
@@ -1,41 +1,42 @@
 /**
- * Who sends load reports to whom within an availability zone, and what crosses between zones.
+ * Plans the exchange of load reports within an availability zone and between zones.
  *
- * Sums climb a tree over the sidecars of the zone: every sidecar reports the sum of its subtree to its parent once an
- * interval, and the answer brings the sums of all zones of the region down. Roots exchange sums with the roots of
- * the other zones. Loads of single upstreams come from a fixed number of peers, asked in rotation. Each process
- * sends and receives a number of messages that does not grow with the fleet.
+ * Loads are aggregated in a tree over the sidecars of the zone: once per interval every sidecar sends the sum of its
+ * subtree to its parent, and the response contains the sums of all zones of the region. Roots exchange sums with the
+ * roots of the other zones. Loads of single upstreams are requested from a fixed number of peers in rotation. The
+ * number of messages of a process does not grow with the fleet.
  *
- * The parent always has the higher rendezvous score, which depends on no view; so reports never run in a circle,
- * even among processes whose views differ.
+ * A parent always has a higher rendezvous score than its children. Scores do not depend on the view, so that reports
+ * never form a cycle, even if the views of processes differ.
  */
 import type * as chooseHome from '@eelgrasswind/choose-home'
 import type * as types from '@eelgrasswind/types'
 
+/** Settings of the report plan. */
 export interface ReportSettings {
-  /** Children of one sidecar in the tree. */
+  /** Maximum number of children of a sidecar in the tree. */
   readonly fanout: number
-  /** Peers asked for their own load in one interval. */
+  /** Number of peers that are asked for their own load per interval. */
   readonly peersPerInterval: number
 }
 
 export const defaultReportSettings: ReportSettings = { fanout: 8, peersPerInterval: 2 }
 
-/** Sidecars of one availability zone, as the view of this process has them. */
+/** Sidecars of one availability zone in this process's view. */
 export interface ZoneHosts {
   readonly availabilityZone: types.AvailabilityZoneId
   readonly hosts: readonly types.HostId[]
 }
 
-/** The messages of one process, as long as the membership stays. */
+/** The report partners of one process, until the membership changes. */
 export interface ReportPlan {
-  /** Gets the sum of this process's subtree; undefined for the root. */
+  /** Receives the sum of this process's subtree; undefined for the root. */
   readonly parent: types.HostId | undefined
-  /** Only reports of these count. */
+  /** Hosts whose reports are accepted. */
   readonly children: readonly types.HostId[]
   /** Roots of the other zones of the region; empty unless this process is the root of its own. */
   readonly otherRoots: readonly types.HostId[]
-  /** Peers of the zone to ask for their own load in an interval, counted from any common origin. */
+  /** Peers of the zone to ask for their own load in the interval with this number. */
   readonly getPeers: (interval: number) => readonly types.HostId[]
 }
 
@@ -56,7 +57,7 @@
   return options.others.flatMap((zone) => options.ranking.findBest(createTreeKey(zone.availabilityZone), zone.hosts) ?? [])
 }
 
-/** Works out the plan; call it again when the hosts of the region change. */
+/** Computes the plan; call it again when the hosts of the region change. */
 export function planReports (options: PlanReportsOptions): ReportPlan {
   const { ranking, settings, self, own } = options
   const hosts = own.hosts.includes(self) ? own.hosts : [...own.hosts, self]
--- a/packages/decide/membership/src/probes.ts
+++ b/packages/decide/membership/src/probes.ts
@@ -1,4 +1,4 @@
-/** Which suspect hosts to probe now. */
+/** Schedules probes of suspect hosts with exponential backoff. */
 import type * as members from './member.js'
 import type * as config from './settings.js'
 
@@ -11,7 +11,7 @@
   member.nextProbeAt = now + member.probeBackoffMs
 }
 
-/** Takes at most `probesPerBatch` of the hosts that are due, the longest waiting first, and doubles their pause. */
+/** Returns at most `probesPerBatch` hosts that are due, the longest overdue first, and doubles their probe interval. */
 export function takeDueProbes (candidates: Iterable<members.Member>, settings: config.MembershipSettings, now: number): members.Member[] {
   const due = [...candidates].filter((member) => isDue(member, now))
   due.sort((a, b) => a.nextProbeAt - b.nextProbeAt)
--- a/packages/decide/membership/src/select-hosts.ts
+++ b/packages/decide/membership/src/select-hosts.ts
@@ -1,13 +1,14 @@
-/** Lists of hosts for one purpose, taken from a view; the same array as long as its content is the same. */
+/** Selects hosts for new work from a view; returns the same array while its content does not change. */
 import type * as types from '@eelgrasswind/types'
 import type * as membership from './membership.js'
 
 /**
- * Least share of a selection that must be live; below it the process doubts its own view (its network is likely at
- * fault) and also selects suspect hosts. Under a half, so that losing one of two availability zones is believed.
+ * Minimum share of live hosts in a selection (panic threshold). Below it, this process's own network is likely at fault,
+ * and suspect hosts are selected too. Less than a half, so that the loss of one of two availability zones is accepted.
  */
 export const minLiveFraction = 1 / 3
 
+/** Returns the selected hosts of a view. */
 export type HostSelector = (view: membership.MembershipView) => readonly types.HostId[]
 
 function isSameHosts (a: readonly types.HostId[], b: readonly types.HostId[]): boolean {
@@ -21,7 +22,7 @@
   return chosen.map((host) => host.entry.host)
 }
 
-/** A selector of the hosts for new work that match; it does its work once a version of the view. */
+/** Creates a selector of the matching hosts for new work; it computes the selection once per version of the view. */
 export function createHostSelector (matches: (entry: types.HostEntry) => boolean): HostSelector {
   let version = -1
   let hosts: readonly types.HostId[] = []
--- a/packages/decide/membership/src/settings.ts
+++ b/packages/decide/membership/src/settings.ts
@@ -1,30 +1,31 @@
-/** Settings of the membership and their defaults. */
+/** Settings of the membership table and their defaults. */
 
+/** Settings of the membership table. */
 export interface MembershipSettings {
-  /** Changes of the view come into force in batches, once in this many milliseconds. */
+  /** Interval of the batches in which changes are applied to the view, in milliseconds. */
   readonly batchMs: number
-  /** Failures in a row, with no answer between, that make a host suspect. */
+  /** Consecutive failures without a response that make a host suspect. */
   readonly failuresToSuspect: number
-  /** A host that the list no longer names is gone after this many milliseconds. */
+  /** Grace period after which a host missing from the list is gone, in milliseconds. */
   readonly missingMs: number
-  /** Share of the hosts that a list may lose at once before it is doubted, between 0 and 1. */
+  /** Share of the hosts that a list may lose at once before the loss is considered implausible, between 0 and 1. */
   readonly massLossFraction: number
-  /** A host that a doubted list no longer names, and that has not failed, is gone after this many milliseconds. */
+  /** Grace period after an implausible loss for hosts that have not failed, in milliseconds. */
   readonly massLossMs: number
-  /** A list of a lower version is taken only if no other was taken for this many milliseconds. */
+  /** A list of a lower version is applied only if no other was applied for this many milliseconds. */
   readonly staleListMs: number
-  /** And only if this many lists in a row were of a lower version, as readers of the platform lag differently. */
+  /** It is also applied only after this many consecutive lists of a lower version, since readers of the platform have different delays. */
   readonly staleListReads: number
-  /** Window of the bound on returns of one host, in milliseconds; a gone host is remembered as long. */
+  /** Window of the bound on recoveries of a host, in milliseconds; a gone host is kept for the same time. */
   readonly flapWindowMs: number
-  /** Times that one host may become live again within the window. */
+  /** Number of times that a host may become live again within the window. */
   readonly maxRecoveries: number
-  /** Word of leaving is forgotten after this many milliseconds without another. */
+  /** A report that a host is leaving expires after this many milliseconds. */
   readonly leavingMs: number
-  /** First pause between probes of a suspect host in milliseconds; it doubles up to `maxProbeMs`. */
+  /** Initial interval between probes of a suspect host in milliseconds; it doubles up to `maxProbeMs`. */
   readonly probeMs: number
   readonly maxProbeMs: number
-  /** Probes that one process sends in a batch interval, however many hosts are suspect. */
+  /** Maximum number of probes per batch interval, regardless of the number of suspect hosts. */
   readonly probesPerBatch: number
 }
 
