--- a/packages/decide/choose-home/src/home-chooser.test.ts
+++ b/packages/decide/choose-home/src/home-chooser.test.ts
@@ -31,14 +31,14 @@
   t.pass('200 lists')
 })
 
-// Pins the function itself: processes of two versions must agree while a fleet is being replaced.
-tap.test('known homes stay as they are', async (t) => {
+// Fixes the hash function: processes of two versions must agree during a rolling update.
+tap.test('known homes do not change', async (t) => {
   const hosts = createHosts(30)
   const found = ['order-1', 'roster.7', 'intake-12'].map((id) => homes.findHome(id as types.ProgramId, hosts))
   t.same(found, ['host-10', 'host-27', 'host-14'])
 })
 
-tap.test('a lost host moves only its own programs, each to the next in rank', async (t) => {
+tap.test('the loss of a host moves only its own programs, each to the next host in its ranking', async (t) => {
   fc.assert(fc.property(programArb, hostsArb, fc.nat(), (program, hosts, pick) => {
     const lostHost = hosts[pick % hosts.length]!
     const remainingHosts = hosts.filter((host) => host !== lostHost)
@@ -49,7 +49,7 @@
   t.pass('500 losses')
 })
 
-tap.test('a ranking names each host once, the home first', async (t) => {
+tap.test('a ranking contains each host once, the home first', async (t) => {
   fc.assert(fc.property(programArb, hostsArb, (program, hosts) => {
     const ranked = homes.rankHomes(program, hosts, hosts.length)
     assert.deepEqual([...ranked].sort(), [...hosts].sort())
@@ -59,8 +59,8 @@
   t.pass('200 rankings')
 })
 
-// With m programs a host on average, a fair draw stays within 6 standard deviations (6 * sqrt(m)) of it.
-tap.test('programs spread evenly over 30, 370 and 2,000 hosts', async (t) => {
+// With a mean of m programs per host, a uniform distribution stays within 6 standard deviations (6 * sqrt(m)) of the mean.
+tap.test('programs are distributed evenly over 30, 370 and 2,000 hosts', async (t) => {
   const meanPrograms = 49
   for (const count of [30, 370, 2000]) {
     const hosts = createHosts(count)
@@ -75,7 +75,7 @@
   }
 })
 
-tap.test('no hosts, no home; a repeated host counts once', async (t) => {
+tap.test('an empty list has no home, and a repeated host counts once', async (t) => {
   const program = 'order-1' as types.ProgramId
   t.equal(homes.findHome(program, []), undefined)
   t.same(homes.rankHomes(program, []), [])
@@ -83,7 +83,7 @@
   t.equal(homes.rankHomes(program, twice, 4).length, 2)
 })
 
-tap.test('kinds of task are hashed apart', async (t) => {
+tap.test('kinds of tasks are hashed separately', async (t) => {
   const hosts = createHosts(500)
   const owners = new Set([
     homes.findHome('7' as types.ProgramId, hosts),
--- a/packages/decide/choose-home/src/index.ts
+++ b/packages/decide/choose-home/src/index.ts
@@ -1,3 +1,3 @@
-/** Picks the home of a program by rendezvous hashing. */
+/** Assigns programs to home hosts, and tasks to owners, by rendezvous hashing. */
 export * from './rendezvous.js'
 export * from './home-chooser.js'
--- a/packages/decide/choose-home/src/rendezvous.ts
+++ b/packages/decide/choose-home/src/rendezvous.ts
@@ -1,22 +1,22 @@
-/** Rendezvous hashing: every process with the same set of hosts ranks them alike for a key, with no directory. */
+/** Rendezvous hashing: every process with the same set of hosts gets the same ranking for a key, without a directory. */
 import xxhash from 'xxhash-wasm'
 import type * as types from '@eelgrasswind/types'
 
-/** Seeds of the two 32-bit hashes that stand for a host or a key; every process must use the same ones. */
+/** Seeds of the two 32-bit hashes of a host or a key; every process must use the same ones. */
 const firstSeed = 0x5eed_0001
 const secondSeed = 0x5eed_0002
 
-/** Least value of a score, which is a signed 32-bit integer. */
+/** Minimum score; scores are signed 32-bit integers. */
 const lowestScore = -(2 ** 31)
 
-/** A set of hosts with its hashes, computed once a list. */
+/** The sorted distinct hosts of a list with their hashes, computed once per list. */
 interface HashedHosts {
   readonly hosts: readonly types.HostId[]
   readonly first: Int32Array
   readonly second: Int32Array
 }
 
-/** Ranks hosts for a key. A list is hashed once, by identity: pass the same array until the membership changes. */
+/** Ranks hosts for a key. Hashes are cached by the identity of the array: pass the same array until the membership changes. */
 export interface Rendezvous {
   /** The host with the highest score, or undefined for an empty list. */
   findBest: (key: string, hosts: readonly types.HostId[]) => types.HostId | undefined
@@ -32,19 +32,19 @@
   return hash ^ (hash >>> 16)
 }
 
-/** Score of a host for a key. Two words each, so that two hosts share all scores only if 64 bits collide. */
+/** Score of a host for a key. Each has two 32-bit hashes, so that two hosts have the same scores only if 64 bits collide. */
 function computeScore (keyFirst: number, keySecond: number, hostFirst: number, hostSecond: number): number {
   return mix(mix(keyFirst ^ hostFirst) ^ keySecond ^ hostSecond)
 }
 
-/** A ranking longer than this is sorted whole. */
+/** Longer rankings are computed by sorting all scores. */
 const maxPartialRanking = 16
 
 function sortByScore (scores: Int32Array): number[] {
   return Array.from(scores, (_, index) => index).sort((a, b) => scores[b]! - scores[a]! || a - b)
 }
 
-/** Indexes with the highest scores, highest first; of equal scores the lower index, which is the lesser host id. */
+/** Indexes of the highest scores, highest first; ties are broken by the lower index, that is the smaller host id. */
 function selectHighest (scores: Int32Array, count: number): number[] {
   if (count > maxPartialRanking) return sortByScore(scores).slice(0, count)
   const top: number[] = []
