--- a/packages/decide/admit-program/src/admit-by-load.test.ts
+++ b/packages/decide/admit-program/src/admit-by-load.test.ts
@@ -44,7 +44,7 @@
   leftMs: number
 }
 
-type AdmissionRule = (load: number, tries: number, random: () => number) => boolean
+type AdmissionRule = (load: number, attempts: number, random: () => number) => boolean
 
 function createRandom (seed: number): () => number {
   let state = seed
@@ -60,19 +60,19 @@
   const programs: Program[] = []
   const dueCallbacks = new Map<number, (() => void)[]>()
   const schedule = (step: number, run: () => void): void => { dueCallbacks.set(step, [...dueCallbacks.get(step) ?? [], run]) }
-  const waiting: Program[] = []
+  const queuedPrograms: Program[] = []
   const loads: number[] = []
   let running: RunningTurn[] = []
   let activePrograms = 0
-  let refused = 0
+  let refusedCount = 0
   const tryAdmission = (program: Program, step: number): void => {
     if (isAdmitted(loads[Math.max(0, step - reportLagSteps)] ?? 0, program.attempts, random)) {
       activePrograms += 1
-      waiting.push(program)
+      queuedPrograms.push(program)
       return
     }
     program.attempts += 1
-    if (program.attempts >= maxTries) refused += 1
+    if (program.attempts >= maxTries) refusedCount += 1
     else schedule(step + admitByLoad.loadRetryMs / stepMs, () => { tryAdmission(program, step + admitByLoad.loadRetryMs / stepMs) })
   }
   const computeWorkMs = (program: Program): number => {
@@ -81,7 +81,7 @@
   }
   const endTurn = (program: Program, step: number): void => {
     program.turnsLeft -= 1
-    if (program.turnsLeft > 0) return schedule(step + pauseMs / stepMs, () => { waiting.push(program) })
+    if (program.turnsLeft > 0) return schedule(step + pauseMs / stepMs, () => { queuedPrograms.push(program) })
     program.endedAt = step
     activePrograms -= 1
   }
@@ -95,22 +95,22 @@
       programs.push(program)
       tryAdmission(program, step)
     }
-    while (running.length < slots && waiting.length > 0) {
-      const program = waiting.shift()!
+    while (running.length < slots && queuedPrograms.length > 0) {
+      const program = queuedPrograms.shift()!
       running.push({ program, leftMs: computeWorkMs(program) })
     }
     const progressMs = stepMs / (1 + pattern.slowdownAtFullUse * running.length / slots)
     for (const turn of running) turn.leftMs -= progressMs
     for (const { program } of running.filter(({ leftMs }) => leftMs <= 0)) endTurn(program, step)
     running = running.filter(({ leftMs }) => leftMs > 0)
-    loads.push((running.length + waiting.length) / slots)
+    loads.push((running.length + queuedPrograms.length) / slots)
   }
-  const counted = programs.filter(({ startedAt }) => startedAt < 2_000)
-  const inTime = counted.filter(({ startedAt, endedAt }) => endedAt !== undefined && (endedAt - startedAt) * stepMs <= objectiveMs)
-  return { share: inTime.length / counted.length, refused }
+  const measuredPrograms = programs.filter(({ startedAt }) => startedAt < 2_000)
+  const inTime = measuredPrograms.filter(({ startedAt, endedAt }) => endedAt !== undefined && (endedAt - startedAt) * stepMs <= objectiveMs)
+  return { share: inTime.length / measuredPrograms.length, refused: refusedCount }
 }
 
-const createLoadRule = (holdsAllSlots: boolean): AdmissionRule => (load, _tries, random) => admitByLoad.admitByLoad({ load, holdsAllSlots, random })
+const createLoadRule = (holdsAllSlots: boolean): AdmissionRule => (load, _attempts, random) => admitByLoad.admitByLoad({ load, holdsAllSlots, random })
 /** The rule for the limiting resource of these engines. */
 const getRuleFor = (pattern: Pattern): AdmissionRule => createLoadRule(pattern.cachedProgramsShare >= 1)
 
@@ -135,9 +135,9 @@
 tap.test('in a burst more programs finish in time if engines with enough memory for all slots get the higher load range', (t) => {
   const seeds = Array.from({ length: 20 }, (_, index) => index + 1)
   for (const pattern of [slotBound, { ...slotBound, burst: 2.1 }, { ...slotBound, slowdownAtFullUse: 0.15 }]) {
-    const shareOf = (rule: AdmissionRule): number => computeMean(seeds.map((seed) => simulateBurst(seed, pattern, rule).share))
-    const withUpperRange = shareOf(createLoadRule(true))
-    const withLowerRange = shareOf(createLoadRule(false))
+    const computeShare = (rule: AdmissionRule): number => computeMean(seeds.map((seed) => simulateBurst(seed, pattern, rule).share))
+    const withUpperRange = computeShare(createLoadRule(true))
+    const withLowerRange = computeShare(createLoadRule(false))
     t.ok(withUpperRange > withLowerRange, `${withUpperRange.toFixed(3)} against ${withLowerRange.toFixed(3)}`)
   }
   t.end()
