--- a/packages/decide/choose-home/src/home-chooser.test.ts
+++ b/packages/decide/choose-home/src/home-chooser.test.ts
@@ -70,8 +70,8 @@
       loads.set(home, loads.get(home)! + 1)
     }
     const bound = 6 * Math.sqrt(meanPrograms)
-    const worst = Math.max(...[...loads.values()].map((load) => Math.abs(load - meanPrograms)))
-    t.ok(worst <= bound, `${count} hosts: furthest from the mean ${worst}, bound ${bound}`)
+    const maxDeviation = Math.max(...[...loads.values()].map((load) => Math.abs(load - meanPrograms)))
+    t.ok(maxDeviation <= bound, `${count} hosts: furthest from the mean ${maxDeviation}, bound ${bound}`)
   }
 })
 
@@ -79,8 +79,8 @@
   const program = 'order-1' as types.ProgramId
   t.equal(homes.findHome(program, []), undefined)
   t.same(homes.rankHomes(program, []), [])
-  const twice = [...createHosts(2), ...createHosts(2)]
-  t.equal(homes.rankHomes(program, twice, 4).length, 2)
+  const duplicated = [...createHosts(2), ...createHosts(2)]
+  t.equal(homes.rankHomes(program, duplicated, 4).length, 2)
 })
 
 tap.test('kinds of tasks are hashed separately', async (t) => {
--- a/packages/decide/choose-home/src/rendezvous.ts
+++ b/packages/decide/choose-home/src/rendezvous.ts
@@ -51,9 +51,9 @@
   for (let index = 0; index < scores.length; index += 1) {
     const score = scores[index]!
     if (top.length === count && score <= scores[top[count - 1]!]!) continue
-    let at = top.length
-    while (at > 0 && scores[top[at - 1]!]! < score) at -= 1
-    top.splice(at, 0, index)
+    let position = top.length
+    while (position > 0 && scores[top[position - 1]!]! < score) position -= 1
+    top.splice(position, 0, index)
     if (top.length > count) top.pop()
   }
   return top
