--- a/packages/decide/limit-client/src/limit-client.test.ts
+++ b/packages/decide/limit-client/src/limit-client.test.ts
@@ -27,13 +27,13 @@
   allSteps.forEach((step, index) => {
     now += step.waitMs
     if (index === ownerChangesAt) owner = shareOwner.createShareOwner(limit, now, leaseMs)
-    const tried = shareHolder.takeShare(states[step.holder]!, step.amount, now)
-    states[step.holder] = tried.holder
-    if (tried.result.type === 'taken') taken.push({ at: now, amount: step.amount })
-    if (tried.result.type === 'taken' && !shareHolder.shouldRenew(tried.holder, leaseMs, now)) return
-    const granted = shareOwner.grantShare(owner, { holder: holders[step.holder]!, ...shareHolder.computeShareRequest(tried.holder, now) }, now)
+    const attempt = shareHolder.takeShare(states[step.holder]!, step.amount, now)
+    states[step.holder] = attempt.holder
+    if (attempt.result.type === 'taken') taken.push({ at: now, amount: step.amount })
+    if (attempt.result.type === 'taken' && !shareHolder.shouldRenew(attempt.holder, leaseMs, now)) return
+    const granted = shareOwner.grantShare(owner, { holder: holders[step.holder]!, ...shareHolder.computeShareRequest(attempt.holder, now) }, now)
     owner = granted.owner
-    if (!step.grantLost) states[step.holder] = shareHolder.applyGrant(tried.holder, granted.grant, now, now)
+    if (!step.grantLost) states[step.holder] = shareHolder.applyGrant(attempt.holder, granted.grant, now, now)
   })
   return taken
 }
--- a/packages/decide/limit-client/src/share-owner.ts
+++ b/packages/decide/limit-client/src/share-owner.ts
@@ -80,18 +80,18 @@
 function refill (owner: ShareOwner, now: number): ShareOwner {
   const leasedRate = sumRates(owner.leases)
   const seconds = Math.max(0, now - owner.at) / 1000
-  const free = Math.max(0, owner.limit.perSecond - leasedRate)
-  return { ...owner, at: Math.max(now, owner.at), level: Math.min(owner.limit.burst, owner.level + free * seconds) }
+  const freeRate = Math.max(0, owner.limit.perSecond - leasedRate)
+  return { ...owner, at: Math.max(now, owner.at), level: Math.min(owner.limit.burst, owner.level + freeRate * seconds) }
 }
 
 /** Computes the rate to lease: the wanted rate up to what is free, or a fair share if more is wanted than available. */
 function computeShare (owner: ShareOwner, others: ReadonlyMap<types.HostId, Lease>, request: ShareRequest): number {
   const rate = owner.limit.perSecond
-  const free = Math.max(0, rate - sumRates(others))
-  const fair = rate / (others.size + 1)
+  const freeRate = Math.max(0, rate - sumRates(others))
+  const fairShare = rate / (others.size + 1)
   const wanted = Math.max(request.wantedPerSecond, rate * minShareFraction)
   // Leaves a part of the rate free for holders that are below their fair share.
-  const maxRate = free > fair ? Math.max(fair, free / 2) : free
+  const maxRate = freeRate > fairShare ? Math.max(fairShare, freeRate / 2) : freeRate
   return Math.min(wanted, maxRate)
 }
 
