--- a/packages/decide/membership/src/member.ts
+++ b/packages/decide/membership/src/member.ts
@@ -32,7 +32,7 @@
   /** Failures since the last response. */
   failures: number
   /** Times at which it became live again, within the flap window. */
-  recoveredAt: number[]
+  recoveryTimes: number[]
   nextProbeAt: number
   probeBackoffMs: number
 }
@@ -47,7 +47,7 @@
     earlierIncarnations: [],
     leavingAt: undefined,
     failures: 0,
-    recoveredAt: [],
+    recoveryTimes: [],
     nextProbeAt: 0,
     probeBackoffMs: 0
   }
@@ -80,8 +80,8 @@
 /** Whether it can become live again within the bound on recoveries. */
 function canRecover (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.publishedState === undefined || member.publishedState === 'live') return true
-  member.recoveredAt = member.recoveredAt.filter((at) => now - at < settings.flapWindowMs)
-  return member.recoveredAt.length < settings.maxRecoveries
+  member.recoveryTimes = member.recoveryTimes.filter((at) => now - at < settings.flapWindowMs)
+  return member.recoveryTimes.length < settings.maxRecoveries
 }
 
 /** Derives the state from the facts. */
@@ -95,7 +95,7 @@
 /** Sets the state in the view; true if it changed. */
 export function publishState (member: Member, state: HostState, now: number): boolean {
   if (member.publishedState === state) return false
-  if (state === 'live' && member.publishedState !== undefined) member.recoveredAt.push(now)
+  if (state === 'live' && member.publishedState !== undefined) member.recoveryTimes.push(now)
   member.publishedState = state
   return true
 }
--- a/packages/decide/membership/src/membership.test.ts
+++ b/packages/decide/membership/src/membership.test.ts
@@ -206,13 +206,13 @@
 
 tap.test('for any events, a failed host is not live after the next batch', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { maxLength: 60 }), (events) => {
-    const failedAt = new Map<string, number>()
+    const failedSince = new Map<string, number>()
     runEvents(events, (table, now, event) => {
-      if (event !== 'tick' && event.type === 'failure') failedAt.set(`h${event.host}`, failedAt.get(`h${event.host}`) ?? now)
-      if (event !== 'tick' && event.type === 'answer') failedAt.delete(`h${event.host}`)
+      if (event !== 'tick' && event.type === 'failure') failedSince.set(`h${event.host}`, failedSince.get(`h${event.host}`) ?? now)
+      if (event !== 'tick' && event.type === 'answer') failedSince.delete(`h${event.host}`)
       if (event !== 'tick') return
       for (const { entry: { host }, state } of table.getView().hosts) {
-        if (failedAt.has(host) && now - failedAt.get(host)! >= settings.batchMs) assert.notEqual(state, 'live')
+        if (failedSince.has(host) && now - failedSince.get(host)! >= settings.batchMs) assert.notEqual(state, 'live')
       }
     })
   }), { seed: 11, numRuns: 500 })
@@ -221,21 +221,21 @@
 
 tap.test('for any events, recoveries of a host are bounded and the version changes with the view', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { minLength: 40, maxLength: 200 }), (events) => {
-    let last = new Map<string, string>()
+    let lastStates = new Map<string, string>()
     let lastVersion = 0
-    const returns = new Map<string, number[]>()
+    const recoveries = new Map<string, number[]>()
     runEvents(events, (table, now) => {
       const view = table.getView()
       const states = new Map(view.hosts.map((host) => [host.entry.host as string, host.state as string]))
-      if (view.version === lastVersion) assert.deepEqual(states, last)
+      if (view.version === lastVersion) assert.deepEqual(states, lastStates)
       for (const [host, state] of states) {
-        if (state !== 'live' || last.get(host) === 'live' || !last.has(host)) continue
-        const recent = [...returns.get(host) ?? [], now].filter((at) => now - at < settings.flapWindowMs)
-        returns.set(host, recent)
+        if (state !== 'live' || lastStates.get(host) === 'live' || !lastStates.has(host)) continue
+        const recent = [...recoveries.get(host) ?? [], now].filter((at) => now - at < settings.flapWindowMs)
+        recoveries.set(host, recent)
         assert.ok(recent.length <= settings.maxRecoveries, `${host} returned ${recent.length} times`)
       }
       assert.ok(view.hosts.length > 0)
-      last = states
+      lastStates = states
       lastVersion = view.version
     })
   }), { seed: 12, numRuns: 300 })
@@ -250,15 +250,15 @@
   const homesNow = (): (types.HostId | undefined)[] => programs.map((program) => homes.findHome(program, select(table.getView())))
   let before = homesNow()
   const share = before.filter((host) => host === h0).length
-  let moved = 0
+  let movedPrograms = 0
   for (let now = 1_000; now < settings.flapWindowMs; now += 1_000) {
     if ((now / 1_000) % 10 === 0) table.noteFailure(h0, now)
     if ((now / 1_000) % 10 === 5) table.noteAnswer(h0, first, false, now)
     if (!table.tick(now)) continue
     const after = homesNow()
-    moved += after.filter((host, index) => host !== before[index]).length
+    movedPrograms += after.filter((host, index) => host !== before[index]).length
     before = after
   }
   t.ok(share > 0)
-  t.equal(moved, (2 * settings.maxRecoveries + 1) * share)
+  t.equal(movedPrograms, (2 * settings.maxRecoveries + 1) * share)
 })
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -42,7 +42,7 @@
   /** Applies a host list; empty lists and lists of a lower version are ignored. */
   applyHostList: (list: types.HostList, now: number) => void
   /** Records a response of a host; every response counts as a heartbeat. */
-  noteAnswer: (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number) => void
+  noteAnswer: (host: types.HostId, incarnation: types.Incarnation, isLeaving: boolean, now: number) => void
   /** Records a failed connection to the host or a timeout. */
   noteFailure: (host: types.HostId, now: number) => void
   /** Records that the current incarnation of the host is leaving. Takes effect immediately. */
@@ -107,10 +107,10 @@
   }
 
   function markMissing (listedHosts: ReadonlySet<types.HostId>, now: number): void {
-    const missing = [...membersByHost.values()].filter((member) => !listedHosts.has(member.entry.host) && member.missingSince === undefined)
+    const missingMembers = [...membersByHost.values()].filter((member) => !listedHosts.has(member.entry.host) && member.missingSince === undefined)
     const listedCount = [...membersByHost.values()].filter((member) => member.missingSince === undefined).length
-    const isDoubted = missing.length > listedCount * settings.massLossFraction
-    for (const member of missing) {
+    const isDoubted = missingMembers.length > listedCount * settings.massLossFraction
+    for (const member of missingMembers) {
       member.missingSince = now
       member.isMissingDoubted = isDoubted
       unsettled.add(member)
@@ -130,13 +130,13 @@
     if (isFirst) applyBatch(now)
   }
 
-  function noteAnswer (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number): void {
+  function noteAnswer (host: types.HostId, incarnation: types.Incarnation, isLeaving: boolean, now: number): void {
     const member = membersByHost.get(host)
     if (member === undefined || !members.acceptIncarnation(member, incarnation)) return
     if (member.failures > 0 || member.publishedState !== 'live') unsettled.add(member)
     member.failures = 0
     member.probeBackoffMs = 0
-    if (leaving) markLeaving(member, now)
+    if (isLeaving) markLeaving(member, now)
   }
 
   function noteFailure (host: types.HostId, now: number): void {
--- a/packages/decide/membership/src/plan-reports.test.ts
+++ b/packages/decide/membership/src/plan-reports.test.ts
@@ -51,8 +51,8 @@
   let maxDepth = 0
   for (const host of hosts) {
     let depth = 0
-    for (let at = host; plans.get(at)!.parent !== undefined; at = plans.get(at)!.parent!) {
-      assert.ok(plans.get(plans.get(at)!.parent!)!.children.includes(at))
+    for (let current = host; plans.get(current)!.parent !== undefined; current = plans.get(current)!.parent!) {
+      assert.ok(plans.get(plans.get(current)!.parent!)!.children.includes(current))
       depth += 1
     }
     maxDepth = Math.max(maxDepth, depth)
@@ -73,7 +73,7 @@
     const parents = new Map(hostNames(12).map((host, index) => [host, createPlan(host, believed[index]!).parent]))
     for (const host of hostNames(12)) {
       let steps = 0
-      for (let at = parents.get(host); at !== undefined; at = parents.get(at)) {
+      for (let ancestor = parents.get(host); ancestor !== undefined; ancestor = parents.get(ancestor)) {
         steps += 1
         assert.ok(steps < 12, 'a cycle')
       }
--- a/packages/decide/membership/src/plan-reports.ts
+++ b/packages/decide/membership/src/plan-reports.ts
@@ -64,12 +64,12 @@
   const ranked = ranking.rank(createTreeKey(own.availabilityZone), hosts, hosts.length)
   const index = ranked.indexOf(self)
   const firstChild = index * settings.fanout + 1
-  const others = ranked.length - 1
-  const peerCount = Math.min(settings.peersPerInterval, others)
+  const otherCount = ranked.length - 1
+  const peerCount = Math.min(settings.peersPerInterval, otherCount)
 
   function getPeers (interval: number): types.HostId[] {
     return Array.from({ length: peerCount }, (_, offset) => {
-      const step = 1 + (interval * peerCount + offset) % others
+      const step = 1 + (interval * peerCount + offset) % otherCount
       return ranked[(index + step) % ranked.length]!
     })
   }
