--- a/packages/decide/meter-account/src/meter-account.test.ts
+++ b/packages/decide/meter-account/src/meter-account.test.ts
@@ -54,10 +54,10 @@
 tap.test('a retry after the given time is granted if nothing else was sent', (t) => {
   const book = new meterRegistry.MeterRegistry()
   const { waitMs } = book.applyReport(createReport({ spent: further(400) }), 1, 1, 0)
-  const early = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further - 20)
-  t.equal(early.granted.further, 0)
-  const back = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further + 20)
-  t.equal(back.granted.further, 1)
+  const tooEarly = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further - 20)
+  t.equal(tooEarly.granted.further, 0)
+  const retried = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further + 20)
+  t.equal(retried.granted.further, 1)
   t.end()
 })
 
