--- a/packages/decide/order-queue/src/heap.ts
+++ b/packages/decide/order-queue/src/heap.ts
@@ -14,12 +14,12 @@
   readonly #entries: HeapEntry<T>[] = []
 
   push (entry: HeapEntry<T>): void {
-    let at = this.#entries.push(entry) - 1
-    while (at > 0) {
-      const parent = (at - 1) >> 1
-      if (!this.#isBefore(at, parent)) return
-      this.#swap(at, parent)
-      at = parent
+    let index = this.#entries.push(entry) - 1
+    while (index > 0) {
+      const parent = (index - 1) >> 1
+      if (!this.#isBefore(index, parent)) return
+      this.#swap(index, parent)
+      index = parent
     }
   }
 
@@ -49,15 +49,15 @@
   }
 
   #siftDown (): void {
-    let at = 0
+    let index = 0
     for (;;) {
-      const left = 2 * at + 1
+      const left = 2 * index + 1
       if (left >= this.#entries.length) return
       const right = left + 1
       const child = right < this.#entries.length && this.#isBefore(right, left) ? right : left
-      if (!this.#isBefore(child, at)) return
-      this.#swap(at, child)
-      at = child
+      if (!this.#isBefore(child, index)) return
+      this.#swap(index, child)
+      index = child
     }
   }
 
--- a/packages/decide/order-queue/src/order-queue.test.ts
+++ b/packages/decide/order-queue/src/order-queue.test.ts
@@ -82,12 +82,12 @@
   )
   fc.assert(fc.property(rule, fc.array(call, { minLength: 1, maxLength: 40 }), (chosen, calls) => {
     const queue = orderQueue.createOrderQueue<string>(chosen)
-    calls.forEach((over, at) => queue.push(createItem(String(at), over)))
+    calls.forEach((overrides, index) => queue.push(createItem(String(index), overrides)))
     const now = 110_000
     const taken = drain(queue, now).map((value) => now - calls[Number(value)]!.enqueuedAt)
     const starving = taken.filter((waited) => waited >= starvationMs)
     const sorted = [...starving].sort((a, b) => b - a)
-    return taken.length === calls.length && starving.every((waited, at) => taken[at] === waited && sorted[at] === waited)
+    return taken.length === calls.length && starving.every((waited, index) => taken[index] === waited && sorted[index] === waited)
   }), { seed: 1, numRuns: 300 })
 })
 
@@ -125,9 +125,9 @@
   t.match(estimator.estimate(kind, 0), { calls: 9, tokens: 9, ms: 9, samples: 0 })
   const turn = { tokens: 100, runMs: 400, ms: 1_000 }
   for (let program = 0; program < 40; program += 1) estimator.observe(kind, program % 2 === 0 ? [turn, turn] : [turn, turn, turn, turn])
-  const whole = estimator.estimate(kind, 0)
-  t.ok(Math.abs(whole.calls - 3) < 0.3, 'mean of two and four calls')
-  t.ok(Math.abs(whole.msDeviation - 1_000) < 300, 'deviation of one call')
+  const wholeProgram = estimator.estimate(kind, 0)
+  t.ok(Math.abs(wholeProgram.calls - 3) < 0.3, 'mean of two and four calls')
+  t.ok(Math.abs(wholeProgram.msDeviation - 1_000) < 300, 'deviation of one call')
   t.equal(estimator.estimate(kind, 3).calls, 1)
   t.equal(estimator.estimate(kind, 3).runMs, 400)
   t.equal(estimator.estimate(kind, 50).calls, 1, 'more turns than observed: the estimate of the longest program')
