--- a/packages/decide/place-call/src/place-call.test.ts
+++ b/packages/decide/place-call/src/place-call.test.ts
@@ -44,10 +44,10 @@
 
 tap.test('leaving upstreams are never selected, suspect ones only if no live one exists', async (t) => {
   const states = fc.array(fc.constantFrom('live' as const, 'leaving' as const, 'suspect' as const), { maxLength: 6 })
-  fc.assert(fc.property(fc.constantFrom(...rules), states, fc.nat(20), fc.double({ min: 0, max: 0.999, noNaN: true }), (rule, all, turn, randomValue) => {
-    const offered = all.map((state, at) => createCandidate(at, { state }))
+  fc.assert(fc.property(fc.constantFrom(...rules), states, fc.nat(20), fc.double({ min: 0, max: 0.999, noNaN: true }), (rule, offeredStates, turn, randomValue) => {
+    const offered = offeredStates.map((state, index) => createCandidate(index, { state }))
     const placement = placeCall.placeCall(rule, createInput(offered, { turn, random: () => randomValue, lastUpstream: offered[0]?.upstream }))
-    const wanted = all.includes('live') ? 'live' : all.includes('suspect') ? 'suspect' : 'none'
+    const wanted = offeredStates.includes('live') ? 'live' : offeredStates.includes('suspect') ? 'suspect' : 'none'
     if (placement.type === 'none') return wanted === 'none' && placement.retryAfterMs > 0
     return offered.find(({ upstream }) => upstream === placement.upstream)?.state === wanted
   }), { seed: 1, numRuns: 1_000 })
