--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -84,9 +84,9 @@
   // A token held longer than the survival time displaces another one, which is evicted in its place.
   const displacementWaste = sum(returned) * 1000 / input.survivalMs
   let waste = 0
-  edgesMs.forEach((edge, at) => {
-    const returnShare = returned[at] ?? 0
-    const goneShare = gone[at] ?? 0
+  edgesMs.forEach((edge, index) => {
+    const returnShare = returned[index] ?? 0
+    const goneShare = gone[index] ?? 0
     const heldSeconds = Math.min(edge, holdMs) / 1000
     const displacingSeconds = Math.max(0, Math.min(edge, holdMs) - input.survivalMs) / 1000
     waste += goneShare * heldSeconds * wastePerTokenSecond
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -33,7 +33,7 @@
 }
 
 /** Bucket edges: a quarter of a second, doubling, up to about 17 minutes. */
-export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, at) => 250 * 2 ** at)
+export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, index) => 250 * 2 ** index)
 
 /** Number of samples at which all counts are halved, so that older pauses count less. */
 const maxSamples = 400
