--- a/packages/decide/track-upstreams/src/choose-upstream.ts
+++ b/packages/decide/track-upstreams/src/choose-upstream.ts
@@ -74,9 +74,9 @@
   if (holder !== undefined && computeLoad(holder, input) <= computeMeanLoad(others, input) * loadBoundFactor + holderLoadMargin) return holder
   const { sharedPrefix } = affinity
   if (sharedPrefix === undefined) return findLeastLoaded(sampleUpstreams(pool, input.random), input)
-  const bound = computeMeanLoad(pool, input) * loadBoundFactor
+  const maxLoad = computeMeanLoad(pool, input) * loadBoundFactor
   for (const upstream of rankByHash(sharedPrefix, pool)) {
-    if (computeLoad(upstream, input) <= bound) return upstream
+    if (computeLoad(upstream, input) <= maxLoad) return upstream
   }
   return findLeastLoaded(pool, input)
 }
--- a/packages/decide/track-upstreams/src/find-outliers.ts
+++ b/packages/decide/track-upstreams/src/find-outliers.ts
@@ -118,9 +118,9 @@
   }
 
   private canEject (service: types.ServiceId, now: number): boolean {
-    const all = this.upstreams.getByService(service)
-    const ejected = all.filter((upstream) => upstream.ejectedUntil > now).length
-    return ejected + 1 <= all.length * maxEjectedShare
+    const serviceUpstreams = this.upstreams.getByService(service)
+    const ejected = serviceUpstreams.filter((upstream) => upstream.ejectedUntil > now).length
+    return ejected + 1 <= serviceUpstreams.length * maxEjectedShare
   }
 
   private eject (upstream: list.Upstream, state: UpstreamState, now: number): number {
--- a/packages/decide/track-upstreams/src/peer-loads.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.ts
@@ -23,8 +23,8 @@
   /** Replaces the previous report of a peer; `now`: monotonic ms. */
   applyReport (peer: string, counts: RunningCounts, now: number): void {
     const previous = this.reports.get(peer)
-    if (previous !== undefined) this.add(previous.counts, -1)
-    this.add(counts, 1)
+    if (previous !== undefined) this.addToSums(previous.counts, -1)
+    this.addToSums(counts, 1)
     this.reports.set(peer, { counts, receivedAt: now })
   }
 
@@ -32,7 +32,7 @@
   expire (now: number): void {
     for (const [peer, { counts, receivedAt }] of this.reports) {
       if (now - receivedAt <= reportTtlMs) continue
-      this.add(counts, -1)
+      this.addToSums(counts, -1)
       this.reports.delete(peer)
     }
   }
@@ -51,7 +51,7 @@
     return this.sums.get(upstream) ?? 0
   }
 
-  private add (counts: RunningCounts, sign: 1 | -1): void {
+  private addToSums (counts: RunningCounts, sign: 1 | -1): void {
     for (const [upstream, count] of counts) {
       const sum = (this.sums.get(upstream) ?? 0) + sign * count
       if (sum === 0) this.sums.delete(upstream)
