--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -53,10 +53,12 @@
   /** Too little time is left even on an idle system; a retry does not help. */
   | { readonly type: 'deadlineTooClose', readonly likelihood: number }
 
+/** The decision; `retryAfterMs` is the time after which a retry is worthwhile. */
 export type AdmissionDecision =
   | { readonly type: 'admit', readonly reason: AdmissionReason }
   | { readonly type: 'refuse', readonly retryAfterMs: number, readonly reason: AdmissionReason }
 
+/** The rule that is used if the configuration sets none. */
 export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, usePerDoubling: 0.1 }
 
 /** Time without calls after which an admitted program does not count as demand until its next call. */
@@ -76,6 +78,7 @@
 /** Upper bound of the retry-after time: the estimate does not extend further. */
 const maxRetryAfterMs = 300_000
 
+/** Decides by the rule whether a new program is admitted. */
 export function decideAdmission (rule: AdmissionRule, input: AdmissionInput): AdmissionDecision {
   switch (rule.type) {
     case 'none': return { type: 'admit', reason: { type: 'rule' } }
