--- a/packages/decide/decide-retry/src/decide-retry.ts
+++ b/packages/decide/decide-retry/src/decide-retry.ts
@@ -51,6 +51,7 @@
   | { readonly type: 'retry', readonly afterMs: number, readonly reason: 'transient' }
   | { readonly type: 'giveUp', readonly reason: GiveUpReason }
 
+/** Decides whether a failed request is retried, and after which backoff. */
 export function decideRetry (input: RetryInput, settings: RetrySettings = defaultRetrySettings): RetryDecision {
   const { failure } = input
   if (!isTransient(failure)) return giveUp('permanent')
