--- a/packages/decide/identify-client/src/identify.ts
+++ b/packages/decide/identify-client/src/identify.ts
@@ -32,6 +32,7 @@
   return { type: 'unknownKey' }
 }
 
+/** Returns the account of a caller; `undefined` for callers without one. */
 export function getAccount (caller: Caller): types.AccountId | undefined {
   return caller.type === 'account' ? caller.account : undefined
 }
