--- a/packages/decide/limit-client/src/retry-budget.ts
+++ b/packages/decide/limit-client/src/retry-budget.ts
@@ -25,6 +25,7 @@
 /** Budget for the requests of one program. */
 export const programRetrySettings: RetryBudgetSettings = { ratio: 0.1, reserve: 3, most: 5 }
 
+/** Creates a budget that contains its reserve. */
 export function createRetryBudget (settings: RetryBudgetSettings): RetryBudget {
   return { settings, retriesLeft: settings.reserve }
 }
--- a/packages/decide/limit-client/src/share-holder.ts
+++ b/packages/decide/limit-client/src/share-holder.ts
@@ -31,6 +31,7 @@
 /** Retry-after time while no share is held. */
 const noShareRetryMs = 250
 
+/** Creates a holder without a share. */
 export function createShareHolder (now: number): ShareHolder {
   return { perSecond: 0, burst: 0, level: 0, expiresAt: now, at: now, requested: 0, requestedSince: now }
 }
--- a/packages/decide/limit-client/src/share-owner.ts
+++ b/packages/decide/limit-client/src/share-owner.ts
@@ -50,10 +50,12 @@
   readonly at: number
 }
 
+/** Default length of a lease, in milliseconds. */
 export const defaultShareLeaseMs = 2_000
 /** Minimum share of the rate that is leased to a holder while some is left, so that a first request can be accepted. */
 const minShareFraction = 0.01
 
+/** Creates an owner with a full bucket and no leases. */
 export function createShareOwner (limit: ClientLimit, now: number, leaseMs = defaultShareLeaseMs): ShareOwner {
   return { limit, leaseMs, leases: new Map(), level: limit.burst, at: now }
 }
