--- a/packages/decide/membership/src/member.ts
+++ b/packages/decide/membership/src/member.ts
@@ -23,8 +23,8 @@
   publishedState: HostState | undefined
   /** Since when the host list lacks it; undefined while it is listed. */
   missingSince: number | undefined
-  /** Whether the list that removed it lost implausibly many hosts. */
-  isMissingDoubted: boolean
+  /** Whether the list that removed it lost implausibly many hosts at once. */
+  isMassLoss: boolean
   incarnation: types.Incarnation | undefined
   earlierIncarnations: types.Incarnation[]
   /** When it last reported to be leaving; undefined while it is not. */
@@ -37,12 +37,13 @@
   probeBackoffMs: number
 }
 
+/** Creates a member that is not yet in the view. */
 export function createMember (entry: types.HostEntry): Member {
   return {
     entry,
     publishedState: undefined,
     missingSince: undefined,
-    isMissingDoubted: false,
+    isMassLoss: false,
     incarnation: undefined,
     earlierIncarnations: [],
     leavingAt: undefined,
@@ -68,10 +69,11 @@
 /** Whether the list has lacked it for long enough. */
 function isGone (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.missingSince === undefined) return false
-  const isReachable = member.isMissingDoubted && member.failures === 0
+  const isReachable = member.isMassLoss && member.failures === 0
   return now - member.missingSince >= (isReachable ? settings.massLossMs : settings.missingMs)
 }
 
+/** Whether it is leaving by the host list or by a report that has not expired. */
 export function isLeaving (member: Member, settings: config.MembershipSettings, now: number): boolean {
   if (member.entry.state === 'leaving') return true
   return member.leavingAt !== undefined && now - member.leavingAt < settings.leavingMs
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -3,7 +3,7 @@
  *
  * It combines the platform's host list with the results of calls. Guarantees, verified by the tests:
  * - a process that saw a host fail sends it no new work after the next batch (`batchMs`);
- * - a process that was told that a host is leaving sends it no new work from that moment;
+ * - a process that was informed that a host is leaving sends it no new work from that moment;
  * - a host becomes live again at most `maxRecoveries` times in any `flapWindowMs`;
  * - an empty list changes nothing, and one that loses many hosts at once removes none of them that responds before
  *   `massLossMs`.
@@ -29,6 +29,7 @@
   readonly hosts: readonly MemberHost[]
 }
 
+/** Options of a membership table. */
 export interface MembershipOptions {
   readonly settings: config.MembershipSettings
   /** The host of this process; never suspect to itself. */
@@ -61,6 +62,7 @@
     a.region === b.region && a.availabilityZone === b.availabilityZone
 }
 
+/** Creates an empty table; its first host list takes effect immediately. */
 export function createMembership ({ settings, self, now: startedAt }: MembershipOptions): Membership {
   const membersByHost = new Map<types.HostId, members.Member>()
   /** Hosts whose state may change at the next batch; the cost of a batch is proportional to their number. */
@@ -109,10 +111,10 @@
   function markMissing (listedHosts: ReadonlySet<types.HostId>, now: number): void {
     const missingMembers = [...membersByHost.values()].filter((member) => !listedHosts.has(member.entry.host) && member.missingSince === undefined)
     const listedCount = [...membersByHost.values()].filter((member) => member.missingSince === undefined).length
-    const isDoubted = missingMembers.length > listedCount * settings.massLossFraction
+    const isMassLoss = missingMembers.length > listedCount * settings.massLossFraction
     for (const member of missingMembers) {
       member.missingSince = now
-      member.isMissingDoubted = isDoubted
+      member.isMassLoss = isMassLoss
       unsettled.add(member)
     }
   }
--- a/packages/decide/membership/src/plan-reports.ts
+++ b/packages/decide/membership/src/plan-reports.ts
@@ -40,6 +40,7 @@
   readonly getPeers: (interval: number) => readonly types.HostId[]
 }
 
+/** Input of a plan. */
 export interface PlanReportsOptions {
   readonly ranking: chooseHome.Rendezvous
   readonly settings: ReportSettings
--- a/packages/decide/membership/src/poll-interval.ts
+++ b/packages/decide/membership/src/poll-interval.ts
@@ -1,6 +1,6 @@
 /** Poll interval of the host list, chosen so that the bytes read per second do not grow with the fleet. */
 
-/** Bytes of one host in the JSON list, as measured by the benchmark `host-list`. */
+/** Size of one host in the JSON list, in bytes (see the benchmark `host-list`). */
 const entryBytes = 135
 
 /** Bytes per second that a process reads for the host list; a part of its 11 KB/s of control traffic. */
