--- a/packages/decide/meter-account/src/account-estimate.ts
+++ b/packages/decide/meter-account/src/account-estimate.ts
@@ -65,10 +65,12 @@
   return { requestsPerSecond: limit.requestsPerSecond * share, burst: limit.burst * share, slack: limit.slack * share }
 }
 
+/** Adds two counts by position. */
 export function addCounts (a: accountMeter.RequestCounts, b: accountMeter.RequestCounts): accountMeter.RequestCounts {
   return { first: a.first + b.first, further: a.further + b.further }
 }
 
+/** Whether both counts are 0. */
 export function isZero (counts: accountMeter.RequestCounts): boolean {
   return counts.first === 0 && counts.further === 0
 }
--- a/packages/decide/meter-account/src/account-meter.ts
+++ b/packages/decide/meter-account/src/account-meter.ts
@@ -45,6 +45,7 @@
 
 export const noRequests: RequestCounts = { first: 0, further: 0 }
 
+/** Counts with one request at the given position. */
 export function createSingleCount (position: RequestPosition): RequestCounts {
   return { ...noRequests, [position]: 1 }
 }
--- a/packages/decide/meter-account/src/meter-account.test.ts
+++ b/packages/decide/meter-account/src/meter-account.test.ts
@@ -15,8 +15,8 @@
 }
 
 /** The level of an account after it sent a number of requests. */
-function spendAndGetLevel (book: meterRegistry.MeterRegistry, count: number, now: number, term = 1): number {
-  return book.applyReport(createReport({ spent: further(count) }), term, 1, now).state.level
+function spendAndGetLevel (registry: meterRegistry.MeterRegistry, count: number, now: number, term = 1): number {
+  return registry.applyReport(createReport({ spent: further(count) }), term, 1, now).state.level
 }
 
 tap.test('a meter refills at its rate up to its burst', (t) => {
@@ -52,21 +52,21 @@
 })
 
 tap.test('a retry after the given time is granted if nothing else was sent', (t) => {
-  const book = new meterRegistry.MeterRegistry()
-  const { waitMs } = book.applyReport(createReport({ spent: further(400) }), 1, 1, 0)
-  const tooEarly = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further - 20)
+  const registry = new meterRegistry.MeterRegistry()
+  const { waitMs } = registry.applyReport(createReport({ spent: further(400) }), 1, 1, 0)
+  const tooEarly = registry.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further - 20)
   t.equal(tooEarly.granted.further, 0)
-  const retried = book.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further + 20)
+  const retried = registry.applyReport(createReport({ asked: further(1) }), 1, 1, waitMs.further + 20)
   t.equal(retried.granted.further, 1)
   t.end()
 })
 
 tap.test('a lower limit applies at once, and a report with an older version does not restore the former one', (t) => {
-  const book = new meterRegistry.MeterRegistry()
+  const registry = new meterRegistry.MeterRegistry()
   const lowerLimit = { requestsPerSecond: 2, burst: 2, slack: 0 }
-  t.equal(spendAndGetLevel(book, 0, 0), accountMeter.computeCapacity(limit))
-  t.equal(book.applyReport(createReport({ limit: lowerLimit }), 1, 2, 0).state.level, 2)
-  t.equal(book.applyReport(createReport({ limit }), 1, 1, 1_000).state.level, 2)
+  t.equal(spendAndGetLevel(registry, 0, 0), accountMeter.computeCapacity(limit))
+  t.equal(registry.applyReport(createReport({ limit: lowerLimit }), 1, 2, 0).state.level, 2)
+  t.equal(registry.applyReport(createReport({ limit }), 1, 1, 1_000).state.level, 2)
   t.end()
 })
 
@@ -83,45 +83,45 @@
 })
 
 tap.test('a lower limit, and the report of an idle host under it, do not lower the level below that limit', (t) => {
-  const book = new meterRegistry.MeterRegistry()
-  spendAndGetLevel(book, 60, 0)
+  const registry = new meterRegistry.MeterRegistry()
+  spendAndGetLevel(registry, 60, 0)
   const lowerLimit = { requestsPerSecond: 10, burst: 10, slack: 0 }
   const idleHostState = { state: accountMeter.createState(accountMeter.computeCapacity(lowerLimit)), term: -1 }
-  const { state } = book.applyReport(createReport({ limit: lowerLimit, believed: idleHostState }), 1, 2, 0)
+  const { state } = registry.applyReport(createReport({ limit: lowerLimit, believed: idleHostState }), 1, 2, 0)
   t.equal(state.level, 10)
   t.equal(state.uncommitted, 10)
-  t.equal(book.applyReport(createReport({ believed: { state: accountMeter.createState(2), term: 0 } }), 1, 1, 0).state.level, 10, 'a state under the former limit is ignored')
+  t.equal(registry.applyReport(createReport({ believed: { state: accountMeter.createState(2), term: 0 } }), 1, 1, 0).state.level, 10, 'a state under the former limit is ignored')
   t.end()
 })
 
 tap.test('a process that becomes the owner again discards its former counts', (t) => {
-  const book = new meterRegistry.MeterRegistry()
-  spendAndGetLevel(book, 500, 0, 1)
-  t.equal(spendAndGetLevel(book, 0, 10, 3), accountMeter.computeInitialLevel(limit))
+  const registry = new meterRegistry.MeterRegistry()
+  spendAndGetLevel(registry, 500, 0, 1)
+  t.equal(spendAndGetLevel(registry, 0, 10, 3), accountMeter.computeInitialLevel(limit))
   t.end()
 })
 
 tap.test('idle accounts are removed', (t) => {
-  const book = new meterRegistry.MeterRegistry()
-  spendAndGetLevel(book, 1, 0)
-  book.prune(1_000)
-  t.equal(book.size, 1)
-  book.prune(100_000)
-  t.equal(book.size, 0)
+  const registry = new meterRegistry.MeterRegistry()
+  spendAndGetLevel(registry, 1, 0)
+  registry.prune(1_000)
+  t.equal(registry.size, 1)
+  registry.prune(100_000)
+  t.equal(registry.size, 0)
   t.end()
 })
 
 tap.test('a host asks the owner only before a program begins and near the limit', (t) => {
   const answer = new meterRegistry.MeterRegistry().applyReport(createReport(), 1, 1, 0)
-  let belief = accountEstimate.createEstimate(limit, answer, none, 0)
-  t.notOk(accountEstimate.canSendUnasked(belief, 'first'))
-  t.ok(accountEstimate.canSendUnasked(belief, 'further'))
-  for (let sent = 0; sent < 80; sent += 1) belief = accountEstimate.countRequest(belief, 'further', 1)
-  t.notOk(accountEstimate.canSendUnasked(belief, 'further'))
-  t.same(belief.unreported, further(80))
-  t.equal(accountEstimate.computeConfirmedState(belief, 0).level, answer.state.level)
-  belief = accountEstimate.countRequest(belief, 'further', -1)
-  t.same(belief.unreported, further(79))
+  let estimate = accountEstimate.createEstimate(limit, answer, none, 0)
+  t.notOk(accountEstimate.canSendUnasked(estimate, 'first'))
+  t.ok(accountEstimate.canSendUnasked(estimate, 'further'))
+  for (let sent = 0; sent < 80; sent += 1) estimate = accountEstimate.countRequest(estimate, 'further', 1)
+  t.notOk(accountEstimate.canSendUnasked(estimate, 'further'))
+  t.same(estimate.unreported, further(80))
+  t.equal(accountEstimate.computeConfirmedState(estimate, 0).level, answer.state.level)
+  estimate = accountEstimate.countRequest(estimate, 'further', -1)
+  t.same(estimate.unreported, further(79))
   t.end()
 })
 
--- a/packages/decide/meter-account/src/meter-registry.ts
+++ b/packages/decide/meter-account/src/meter-registry.ts
@@ -10,6 +10,7 @@
   readonly spent: accountMeter.RequestCounts
   /** Requests that wait at the host for the owner's decision. */
   readonly asked: accountMeter.RequestCounts
+  /** The state last confirmed to the host, by this or a former owner. */
   readonly believed?: ConfirmedState | undefined
 }
 
