--- a/packages/decide/order-queue/src/learn-remaining.ts
+++ b/packages/decide/order-queue/src/learn-remaining.ts
@@ -31,6 +31,7 @@
   readonly ms: number
 }
 
+/** Settings of an estimator. */
 export interface RemainingSettings {
   readonly prior: RemainingPrior
   /** Minimum weight of the newest program in an estimate, 0 to 1. */
@@ -62,6 +63,7 @@
 /** Up to this number of turns each count has its own bucket; above it there is one per doubling. */
 const maxExactTurns = 16
 
+/** Creates an estimator without observations, which returns the prior. */
 export function createRemainingEstimator (settings: RemainingSettings = defaultRemainingSettings): RemainingEstimator {
   const kinds = new Map<types.KindId, Mean[]>()
 
--- a/packages/decide/order-queue/src/order-queue.ts
+++ b/packages/decide/order-queue/src/order-queue.ts
@@ -37,6 +37,7 @@
 /** Number of dropped entries that a heap may always keep before it is compacted. */
 const maxDroppedEntries = 64
 
+/** Creates an empty queue. `push` throws if the item is already in it. */
 export function createOrderQueue<T> (rule: orderRule.OrderRule): OrderQueue<T> {
   const entries = new Map<WaitingItem<T>, QueueEntry<T>>()
   const inTime = new heaps.Heap<WaitingItem<T>>()
