--- a/packages/decide/place-call/src/estimate-cost.ts
+++ b/packages/decide/place-call/src/estimate-cost.ts
@@ -17,6 +17,7 @@
   return others + candidate.inFlight
 }
 
+/** Estimates the cost of the call for each option; all candidates are considered as a source for importing the prefix. */
 export function estimateCosts (costs: candidates.PlaceCosts, input: candidates.PlaceInput, options: readonly candidates.Candidate[]): readonly CostedCandidate[] {
   const bestCached = input.candidates.reduce<candidates.Candidate | undefined>((best, candidate) => {
     return candidate.cachedTokens > (best?.cachedTokens ?? 0) ? candidate : best
--- a/packages/decide/place-call/src/in-flight-history.ts
+++ b/packages/decide/place-call/src/in-flight-history.ts
@@ -18,6 +18,7 @@
 /** Time for which counts are kept: longer than the delay of load reports. */
 export const inFlightHistoryMs = 30_000
 
+/** Creates an empty history that covers the last `historyMs` milliseconds. */
 export function createInFlightHistory (historyMs = inFlightHistoryMs): InFlightHistory {
   const changes = new Map<types.UpstreamId, Change[]>()
 
--- a/packages/decide/place-call/src/place-call.ts
+++ b/packages/decide/place-call/src/place-call.ts
@@ -6,6 +6,7 @@
 /** Retry-after time if no upstream is usable. */
 const noUpstreamRetryMs = 1_000
 
+/** Selects an upstream; returns `none` with a retry-after time if there is no usable one. */
 export function placeCall (rule: candidates.PlaceRule, input: candidates.PlaceInput): candidates.Placement {
   const usable = selectUsable(input.candidates)
   const first = usable[0]
--- a/packages/decide/place-call/src/slow-upstreams.ts
+++ b/packages/decide/place-call/src/slow-upstreams.ts
@@ -30,6 +30,7 @@
   at: number
 }
 
+/** Creates a detector without observations, for which all factors are 1. */
 export function createSlowUpstreamDetector (settings: SlowUpstreamSettings = defaultSlowUpstreamSettings): SlowUpstreamDetector {
   const observations = new Map<types.UpstreamId, Observation>()
 
