--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -42,11 +42,13 @@
 
 /** Default for engines with LRU eviction, which keep a prefix through most pauses by themselves. */
 export const defaultHoldRule: HoldRule = { type: 'never' }
+/** Settings of the rule that learns from observed pauses. */
 export const learntHoldRule: HoldRule = { type: 'learnt', fallbackMs: 10_000, minSamples: 20, maxMs: 600_000 }
 
 /** Cost of holding one token for one second for a program that never returns, in recomputed tokens. */
 const wastePerTokenSecond = 1
 
+/** Decides the hold by the rule; never longer than the time left until the program's deadline. */
 export function decideHold (rule: HoldRule, input: HoldInput): Hold {
   if (input.leftMs <= 0) return { holdMs: 0, reason: { type: 'deadlinePassed' } }
   switch (rule.type) {
--- a/packages/decide/retain-prefix/src/eviction-age.ts
+++ b/packages/decide/retain-prefix/src/eviction-age.ts
@@ -13,6 +13,7 @@
 /** After this time without evictions the cache counts as large enough. */
 const evictionIdleMs = 60_000
 
+/** Creates a tracker without evictions. */
 export function createEvictionAgeTracker (): EvictionAgeTracker {
   let meanMs = 0
   let lastEvictionAt = -Infinity
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -38,6 +38,7 @@
 /** Number of samples at which all counts are halved, so that older pauses count less. */
 const maxSamples = 400
 
+/** Creates a learner without observations. */
 export function createPauseLearner (): PauseLearner {
   const kinds = new Map<types.KindId, PauseCounts>()
 
