--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -58,7 +58,7 @@
   | { readonly type: 'admit', readonly reason: AdmissionReason }
   | { readonly type: 'refuse', readonly retryAfterMs: number, readonly reason: AdmissionReason }
 
-/** The rule that is used if the configuration sets none. */
+/** The `inTime` rule with its default settings. */
 export const defaultAdmissionRule: AdmissionRule = { type: 'inTime', minLikelihood: 0.05, peakUse: 1, sustainedUse: 0.9, usePerDoubling: 0.1 }
 
 /** Time without calls after which an admitted program does not count as demand until its next call. */
--- a/packages/decide/order-queue/src/heap.ts
+++ b/packages/decide/order-queue/src/heap.ts
@@ -1,6 +1,6 @@
 /** A binary heap with lazy deletion: entries are marked as dropped without a search. */
 
-/** One entry; `dropped` entries are skipped when they reach the top. */
+/** One entry; dropped entries are skipped when they reach the top. */
 export interface HeapEntry<T> {
   readonly key: number
   /** Order of arrival, which breaks ties. */
--- a/packages/decide/place-call/src/candidate.ts
+++ b/packages/decide/place-call/src/candidate.ts
@@ -111,5 +111,5 @@
   typicalCallMs: 3_000
 }
 
-/** The rule that is used unless another one is passed. */
+/** The `homeFirst` rule with its default settings. */
 export const defaultPlaceRule: PlaceRule = { type: 'homeFirst', costs: defaultPlaceCosts, spillMarginMs: 1_500 }
--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -99,5 +99,5 @@
 }
 
 function sum (shares: readonly number[]): number {
-  return shares.reduce((sum, share) => sum + share, 0)
+  return shares.reduce((total, share) => total + share, 0)
 }
