--- a/packages/decide/admit-program/src/usable-slots.ts
+++ b/packages/decide/admit-program/src/usable-slots.ts
@@ -1,17 +1,19 @@
-/** How many calls an engine really runs at once: long prompts fill its memory before its batch is full. */
+/** Estimates how many calls an engine runs concurrently: long prompts fill its cache memory before its batch is full. */
 
-export interface EngineRoom {
-  /** Streams of a batch. */
+/** Capacity of an engine and the mean size of its calls. */
+export interface EngineCapacity {
+  /** Maximum number of streams in a batch. */
   readonly slots: number
-  /** Tokens that the engine's memory holds, for running calls and cached prefixes together. */
+  /** Capacity of the cache memory in tokens, for running calls and cached prefixes together. */
   readonly cacheTokens: number
-  /** Mean of prompt and answer tokens over running calls, long ones counting for longer. */
+  /** Mean of prompt and output tokens over running calls, weighted by their run time. */
   readonly meanCallTokens: number
 }
 
-/** Part of the memory for running calls; the rest is left for the prefixes of programs that pause. */
-const runningPart = 0.6
+/** Share of the memory for running calls; the rest is left for the cached prefixes of paused programs. */
+const runningCallShare = 0.6
 
-export function computeUsableSlots (room: EngineRoom): number {
-  return Math.min(room.slots, runningPart * room.cacheTokens / Math.max(1, room.meanCallTokens))
+/** Number of calls that the engine can run concurrently, at most `slots`; may be a fraction. */
+export function computeUsableSlots (capacity: EngineCapacity): number {
+  return Math.min(capacity.slots, runningCallShare * capacity.cacheTokens / Math.max(1, capacity.meanCallTokens))
 }
--- a/packages/decide/membership/src/membership.test.ts
+++ b/packages/decide/membership/src/membership.test.ts
@@ -14,7 +14,7 @@
 const second = 'run-2' as types.Incarnation
 const h0 = 'h0' as types.HostId
 
-function entry (host: types.HostId, state: 'live' | 'leaving' = 'live'): types.HostEntry {
+function createEntry (host: types.HostId, state: 'live' | 'leaving' = 'live'): types.HostEntry {
   return {
     host,
     role: 'sidecar',
@@ -29,107 +29,107 @@
   return Array.from({ length: count }, (_, index) => `h${index}` as types.HostId)
 }
 
-function listOf (version: number, hosts: readonly types.HostEntry[]): types.HostList {
+function createList (version: number, hosts: readonly types.HostEntry[]): types.HostList {
   return { version, hosts }
 }
 
-function start (count = 4): membership.Membership {
+function createTable (count = 4): membership.Membership {
   const table = membership.createMembership({ settings, self, now: 0 })
-  table.applyHostList(listOf(1, hostNames(count).map((host) => entry(host))), 0)
+  table.applyHostList(createList(1, hostNames(count).map((host) => createEntry(host))), 0)
   return table
 }
 
-function stateOf (table: membership.Membership, host: types.HostId): string | undefined {
-  return table.getView().hosts.find((found) => found.entry.host === host)?.state
+function getState (table: membership.Membership, host: types.HostId): string | undefined {
+  return table.getView().hosts.find((member) => member.entry.host === host)?.state
 }
 
 const selectAll = (): selectHosts.HostSelector => selectHosts.createHostSelector(() => true)
 
-tap.test('a failure takes effect at the next batch and an answer ends it', async (t) => {
-  const table = start()
+tap.test('a failure takes effect at the next batch, and so does the recovery', async (t) => {
+  const table = createTable()
   table.noteFailure(h0, 100)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
   t.notOk(table.tick(settings.batchMs - 1))
   t.ok(table.tick(settings.batchMs))
-  t.equal(stateOf(table, h0), 'suspect')
+  t.equal(getState(table, h0), 'suspect')
   table.noteAnswer(h0, first, false, 1_500)
   table.tick(2_000)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
 })
 
-tap.test('a leaving host gets no new work at once, until another incarnation answers', async (t) => {
-  const table = start()
+tap.test('a leaving host immediately gets no new work, until another incarnation responds', async (t) => {
+  const table = createTable()
   table.noteAnswer(h0, first, false, 10)
   table.noteLeaving(h0, 20)
-  t.equal(stateOf(table, h0), 'leaving')
+  t.equal(getState(table, h0), 'leaving')
   table.noteAnswer(h0, first, false, 30)
   table.tick(1_000)
-  t.equal(stateOf(table, h0), 'leaving', 'a crossed answer of the same incarnation changes nothing')
+  t.equal(getState(table, h0), 'leaving', 'a late response of the same incarnation changes nothing')
   table.noteAnswer(h0, second, false, 1_500)
   table.noteAnswer(h0, first, true, 1_600)
   table.tick(2_000)
-  t.equal(stateOf(table, h0), 'live', 'a late answer of the earlier incarnation says nothing of the new one')
+  t.equal(getState(table, h0), 'live', 'a late response of the former incarnation is ignored')
 })
 
-tap.test('an empty or older list changes nothing', async (t) => {
-  const table = start()
+tap.test('an empty list or one of a lower version changes nothing', async (t) => {
+  const table = createTable()
   const before = table.getView()
-  table.applyHostList(listOf(9, []), 1_000)
-  table.applyHostList(listOf(0, [entry(h0)]), 1_000)
+  table.applyHostList(createList(9, []), 1_000)
+  table.applyHostList(createList(0, [createEntry(h0)]), 1_000)
   for (let now = 1_000; now <= 2 * settings.massLossMs; now += 1_000) table.tick(now)
   t.equal(table.getView(), before)
 })
 
-tap.test('a list that starts its versions anew is taken after a while, one late list is not', async (t) => {
-  const table = start(2)
-  const restarted = listOf(0, [entry(h0, 'leaving'), entry('h1' as types.HostId)])
+tap.test('a list with restarted versions is applied after some time, a single late list is not', async (t) => {
+  const table = createTable(2)
+  const restarted = createList(0, [createEntry(h0, 'leaving'), createEntry('h1' as types.HostId)])
   let now = settings.staleListMs
   for (let read = 1; read <= settings.staleListReads; read += 1) {
-    t.equal(stateOf(table, h0), 'live')
+    t.equal(getState(table, h0), 'live')
     table.applyHostList(restarted, now)
     table.tick(now += settings.staleListMs)
   }
-  t.equal(stateOf(table, h0), 'leaving')
+  t.equal(getState(table, h0), 'leaving')
 })
 
-tap.test('a list that loses most hosts keeps those that do not fail for longer', async (t) => {
-  const table = start(4)
-  table.applyHostList(listOf(2, [entry('h3' as types.HostId)]), 0)
+tap.test('hosts missing from a list that lost most hosts are kept longer unless they fail', async (t) => {
+  const table = createTable(4)
+  table.applyHostList(createList(2, [createEntry('h3' as types.HostId)]), 0)
   table.noteFailure('h1' as types.HostId, 0)
   table.tick(settings.missingMs)
-  t.equal(stateOf(table, h0), 'live')
-  t.equal(stateOf(table, 'h1' as types.HostId), 'gone')
+  t.equal(getState(table, h0), 'live')
+  t.equal(getState(table, 'h1' as types.HostId), 'gone')
   table.tick(settings.massLossMs)
-  t.equal(stateOf(table, h0), 'gone')
+  t.equal(getState(table, h0), 'gone')
 })
 
-tap.test('a host that the list drops is gone after the grace, and forgotten in the end', async (t) => {
-  const table = start(4)
-  table.applyHostList(listOf(2, hostNames(4).slice(1).map((host) => entry(host))), 0)
+tap.test('a host missing from the list is gone after the grace period and later removed', async (t) => {
+  const table = createTable(4)
+  table.applyHostList(createList(2, hostNames(4).slice(1).map((host) => createEntry(host))), 0)
   table.tick(settings.missingMs - 1)
-  t.equal(stateOf(table, h0), 'live')
+  t.equal(getState(table, h0), 'live')
   table.tick(settings.missingMs + settings.batchMs)
-  t.equal(stateOf(table, h0), 'gone')
+  t.equal(getState(table, h0), 'gone')
   table.tick(settings.flapWindowMs)
-  t.equal(stateOf(table, h0), undefined)
+  t.equal(getState(table, h0), undefined)
 })
 
-tap.test('the view and its selections stay the same objects while nothing changes', async (t) => {
-  const table = start()
+tap.test('the view and its selections keep their identity while nothing changes', async (t) => {
+  const table = createTable()
   const select = selectAll()
   const view = table.getView()
   const hosts = select(view)
   table.noteAnswer(h0, first, false, 10)
   table.noteFailure(h0, 20)
   table.noteAnswer(h0, first, false, 30)
-  table.applyHostList(listOf(2, hostNames(4).map((host) => entry(host))), 40)
+  table.applyHostList(createList(2, hostNames(4).map((host) => createEntry(host))), 40)
   t.notOk(table.tick(1_000))
   t.equal(table.getView(), view)
   t.equal(select(table.getView()), hosts)
 })
 
-tap.test('probes are few a batch, and less often for each host', async (t) => {
-  const table = start(20)
+tap.test('probes are limited per batch, with backoff per host', async (t) => {
+  const table = createTable(20)
   for (const host of hostNames(20)) table.noteFailure(host, 0)
   table.tick(settings.batchMs)
   let sent = 0
@@ -142,22 +142,22 @@
   t.ok(sent >= perHost && sent <= perHost + 20 * 5, `${sent} probes`)
 })
 
-tap.test('a process that reaches almost nobody doubts itself', async (t) => {
-  const table = start(9)
+tap.test('a process that reaches almost no host also selects suspect ones', async (t) => {
+  const table = createTable(9)
   const select = selectAll()
   for (const host of hostNames(9).slice(0, 6)) table.noteFailure(host, 0)
   table.tick(1_000)
-  t.equal(select(table.getView()).length, 3, 'losing two thirds is believed')
+  t.equal(select(table.getView()).length, 3, 'the loss of two thirds is accepted')
   table.noteFailure('h6' as types.HostId, 1_500)
   table.noteLeaving('h7' as types.HostId, 1_500)
   table.tick(2_000)
   t.equal(select(table.getView()).length, 8, 'all but the leaving one')
 })
 
-tap.test('reading the host list costs no more bytes a second in a large fleet', async (t) => {
+tap.test('the bytes per second read for the host list are bounded in large fleets', async (t) => {
   t.equal(pollInterval.computeHostListPollMs(29, 1_000), 1_000)
   for (const hosts of [30, 370, 2_000]) {
-    const bytes = JSON.stringify(listOf(1, hostNames(hosts).map((host) => entry(host)))).length
+    const bytes = JSON.stringify(createList(1, hostNames(hosts).map((host) => createEntry(host)))).length
     const bytesPerSecond = bytes / (pollInterval.computeHostListPollMs(hosts, 1_000) / 1_000)
     t.ok(bytesPerSecond <= 4_400, `${hosts} hosts: ${bytesPerSecond} bytes/s`)
   }
@@ -183,82 +183,82 @@
     case 'failure': return table.noteFailure(`h${event.host}` as types.HostId, now)
     case 'list': {
       const hosts = hostNames(hostCount).filter((_, index) => (event.missing & (1 << index)) === 0)
-      return table.applyHostList(listOf(event.version, hosts.map((host) => entry(host))), now)
+      return table.applyHostList(createList(event.version, hosts.map((host) => createEntry(host))), now)
     }
     case 'pause':
   }
 }
 
-/** Runs events with a tick each second of a pause; calls back after every step. */
-function runEvents (events: readonly Event[], after: (table: membership.Membership, now: number, event: Event | 'tick') => void): void {
-  const table = start(hostCount)
+/** Runs events, with a tick every second of a pause; calls `onStep` after every step. */
+function runEvents (events: readonly Event[], onStep: (table: membership.Membership, now: number, event: Event | 'tick') => void): void {
+  const table = createTable(hostCount)
   let now = 0
   for (const event of events) {
     apply(table, event, now)
-    after(table, now, event)
+    onStep(table, now, event)
     const until = event.type === 'pause' ? now + event.ms : now
     for (now += settings.batchMs; now <= until; now += settings.batchMs) {
       table.tick(now)
-      after(table, now, 'tick')
+      onStep(table, now, 'tick')
     }
   }
 }
 
-tap.test('whatever happens, a dead host is not live after the next batch', async (t) => {
+tap.test('for any events, a failed host is not live after the next batch', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { maxLength: 60 }), (events) => {
-    const failedAt = new Map<string, number>()
+    const failedSince = new Map<string, number>()
     runEvents(events, (table, now, event) => {
-      if (event !== 'tick' && event.type === 'failure') failedAt.set(`h${event.host}`, failedAt.get(`h${event.host}`) ?? now)
-      if (event !== 'tick' && event.type === 'answer') failedAt.delete(`h${event.host}`)
+      if (event !== 'tick' && event.type === 'failure') failedSince.set(`h${event.host}`, failedSince.get(`h${event.host}`) ?? now)
+      if (event !== 'tick' && event.type === 'answer') failedSince.delete(`h${event.host}`)
       if (event !== 'tick') return
       for (const { entry: { host }, state } of table.getView().hosts) {
-        if (failedAt.has(host) && now - failedAt.get(host)! >= settings.batchMs) assert.notEqual(state, 'live')
+        if (failedSince.has(host) && now - failedSince.get(host)! >= settings.batchMs) assert.notEqual(state, 'live')
       }
     })
   }), { seed: 11, numRuns: 500 })
   t.pass('500 runs')
 })
 
-tap.test('whatever happens, one host comes back a bounded number of times and the version follows the view', async (t) => {
+tap.test('for any events, recoveries of a host are bounded and the version changes with the view', async (t) => {
   fc.assert(fc.property(fc.array(eventArb, { minLength: 40, maxLength: 200 }), (events) => {
-    let last = new Map<string, string>()
+    let lastStates = new Map<string, string>()
     let lastVersion = 0
-    const returns = new Map<string, number[]>()
+    const recoveries = new Map<string, number[]>()
     runEvents(events, (table, now) => {
       const view = table.getView()
       const states = new Map(view.hosts.map((host) => [host.entry.host as string, host.state as string]))
-      if (view.version === lastVersion) assert.deepEqual(states, last)
+      if (view.version === lastVersion) assert.deepEqual(states, lastStates)
       for (const [host, state] of states) {
-        if (state !== 'live' || last.get(host) === 'live' || !last.has(host)) continue
-        const recent = [...returns.get(host) ?? [], now].filter((at) => now - at < settings.flapWindowMs)
-        returns.set(host, recent)
-        assert.ok(recent.length <= settings.maxReturns, `${host} returned ${recent.length} times`)
+        if (state !== 'live' || lastStates.get(host) === 'live' || !lastStates.has(host)) continue
+        const recent = [...recoveries.get(host) ?? [], now].filter((at) => now - at < settings.flapWindowMs)
+        recoveries.set(host, recent)
+        assert.ok(recent.length <= settings.maxRecoveries, `${host} returned ${recent.length} times`)
       }
       assert.ok(view.hosts.length > 0)
-      last = states
+      lastStates = states
       lastVersion = view.version
     })
   }), { seed: 12, numRuns: 300 })
   t.pass('300 runs')
 })
 
-tap.test('a flapping host moves at most its share, 2 * maxReturns + 1 times a window', async (t) => {
+tap.test('a flapping host moves only its own programs, 2 * maxRecoveries + 1 times per window', async (t) => {
   const homes = await chooseHome.createHomeChooser()
   const programs = Array.from({ length: 2_000 }, (_, index) => `p${index}` as types.ProgramId)
-  const table = start(20)
+  const table = createTable(20)
   const select = selectAll()
   const homesNow = (): (types.HostId | undefined)[] => programs.map((program) => homes.findHome(program, select(table.getView())))
   let before = homesNow()
   const share = before.filter((host) => host === h0).length
-  let moved = 0
+  let movedPrograms = 0
   for (let now = 1_000; now < settings.flapWindowMs; now += 1_000) {
     if ((now / 1_000) % 10 === 0) table.noteFailure(h0, now)
     if ((now / 1_000) % 10 === 5) table.noteAnswer(h0, first, false, now)
     if (!table.tick(now)) continue
     const after = homesNow()
-    moved += after.filter((host, index) => host !== before[index]).length
+    movedPrograms += after.filter((host, index) => host !== before[index]).length
     before = after
   }
   t.ok(share > 0)
-  t.equal(moved, (2 * settings.maxReturns + 1) * share)
+  t.equal(movedPrograms, (2 * settings.maxRecoveries + 1) * share)
 })
--- a/packages/decide/membership/src/membership.ts
+++ b/packages/decide/membership/src/membership.ts
@@ -1,11 +1,12 @@
 /**
- * Which hosts one process holds for live, leaving, suspect or gone.
+ * The membership table of one process: which hosts are live, leaving, suspect or gone.
  *
- * The platform's host list is the base; what calls show comes on top. Bounds, held by the tests:
- * - a host that fails is offered no work after the next batch (`batchMs`), by each process that saw the failure;
- * - a host that says it is leaving is offered none from that moment, by each process that heard it;
- * - one host becomes live again at most `maxReturns` times in any `flapWindowMs`;
- * - an empty list changes nothing, and one that loses many hosts at once removes none of them that answers before `massLossMs`.
+ * It combines the platform's host list with the results of calls. Guarantees, verified by the tests:
+ * - a process that saw a host fail sends it no new work after the next batch (`batchMs`);
+ * - a process that was informed that a host is leaving sends it no new work from that moment;
+ * - a host becomes live again at most `maxRecoveries` times in any `flapWindowMs`;
+ * - an empty list changes nothing, and one that loses many hosts at once removes none of them that responds before
+ *   `massLossMs`.
  */
 import type * as types from '@eelgrasswind/types'
 import * as members from './member.js'
@@ -16,167 +17,170 @@
 export interface MemberHost {
   readonly entry: types.HostEntry
   readonly state: members.HostState
-  /** The incarnation that last answered, if any has. */
+  /** The incarnation that last responded, if any. */
   readonly incarnation: types.Incarnation | undefined
 }
 
-/** An immutable picture of the membership; another object only if something in it changed. */
+/** An immutable snapshot of the membership; a new object only if something in it changed. */
 export interface MembershipView {
-  /** Grows by one with every change; a number of this process alone. */
+  /** Incremented with every change; local to this process. */
   readonly version: number
   /** Sorted by host id. */
   readonly hosts: readonly MemberHost[]
 }
 
+/** Options of a membership table. */
 export interface MembershipOptions {
   readonly settings: config.MembershipSettings
   /** The host of this process; never suspect to itself. */
   readonly self: types.HostId
-  /** Milliseconds of a clock that never goes back; all other calls take the same clock. */
+  /** Milliseconds on a monotonic clock; all other calls use the same clock. */
   readonly now: number
 }
 
+/** The membership table of this process. */
 export interface Membership {
-  /** Takes a host list; empty ones and ones of a lower version are ignored. */
+  /** Applies a host list; empty lists and lists of a lower version are ignored. */
   applyHostList: (list: types.HostList, now: number) => void
-  /** Any answer of a host is a heartbeat. */
-  noteAnswer: (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number) => void
-  /** A connection to the host failed, or no answer came in time. */
+  /** Records a response of a host; every response counts as a heartbeat. */
+  noteAnswer: (host: types.HostId, incarnation: types.Incarnation, isLeaving: boolean, now: number) => void
+  /** Records a failed connection to the host or a timeout. */
   noteFailure: (host: types.HostId, now: number) => void
-  /** The host said that it is leaving, as its present incarnation. In force at once. */
+  /** Records that the current incarnation of the host is leaving. Takes effect immediately. */
   noteLeaving: (host: types.HostId, now: number) => void
-  /** Puts the changes of a batch interval into force; true if the view changed. Call at least once every `batchMs`. */
+  /** Applies the changes of a batch interval to the view; true if it changed. Call at least once every `batchMs`. */
   tick: (now: number) => boolean
   getView: () => MembershipView
-  /** Suspect hosts to send a small request now, at most `probesPerBatch`, with a growing pause for each host. */
+  /** Returns the suspect hosts to probe now, at most `probesPerBatch`, with exponential backoff per host. */
   takeProbes: (now: number) => types.HostId[]
-  /** When the last host list was taken; undefined before the first. */
-  listTakenAt: () => number | undefined
+  /** Returns when the last host list was applied; undefined before the first. */
+  getListAppliedAt: () => number | undefined
 }
 
-function sameEntry (a: types.HostEntry, b: types.HostEntry): boolean {
+function isSameEntry (a: types.HostEntry, b: types.HostEntry): boolean {
   return a.state === b.state && a.address === b.address && a.role === b.role &&
     a.region === b.region && a.availabilityZone === b.availabilityZone
 }
 
+/** Creates an empty table; its first host list takes effect immediately. */
 export function createMembership ({ settings, self, now: startedAt }: MembershipOptions): Membership {
-  const all = new Map<types.HostId, members.Member>()
-  /** Hosts whose state may differ at the next batch; a tick costs as many steps. */
+  const membersByHost = new Map<types.HostId, members.Member>()
+  /** Hosts whose state may change at the next batch; the cost of a batch is proportional to their number. */
   const unsettled = new Set<members.Member>()
   let listVersion: number | undefined
-  let takenAt: number | undefined
-  /** Lists of a lower version since the last one taken. */
-  let lowerLists = 0
-  let batchAt = startedAt
-  let entriesChanged = false
+  let listAppliedAt: number | undefined
+  /** Lists of a lower version since the last applied one. */
+  let staleLists = 0
+  let lastBatchAt = startedAt
+  let haveEntriesChanged = false
   let view: MembershipView = { version: 0, hosts: [] }
 
   function publish (): void {
-    const hosts = [...all.values()]
-      .filter((member) => member.shown !== undefined)
+    const hosts = [...membersByHost.values()]
+      .filter((member) => member.publishedState !== undefined)
       .sort((a, b) => a.entry.host < b.entry.host ? -1 : 1)
-      .map((member) => ({ entry: member.entry, state: member.shown!, incarnation: member.incarnation }))
+      .map((member) => ({ entry: member.entry, state: member.publishedState!, incarnation: member.incarnation }))
     view = { version: view.version + 1, hosts }
-    entriesChanged = false
+    haveEntriesChanged = false
   }
 
   function isUsable (list: types.HostList, now: number): boolean {
     if (list.hosts.length === 0) return false
-    if (listVersion === undefined || takenAt === undefined) return true
+    if (listVersion === undefined || listAppliedAt === undefined) return true
     if (list.version >= listVersion) return true
-    lowerLists += 1
-    return lowerLists >= settings.staleListReads && now - takenAt >= settings.staleListMs
+    staleLists += 1
+    return staleLists >= settings.staleListReads && now - listAppliedAt >= settings.staleListMs
   }
 
-  function takeEntry (entry: types.HostEntry): void {
-    const member = all.get(entry.host)
+  function applyEntry (entry: types.HostEntry): void {
+    const member = membersByHost.get(entry.host)
     if (member === undefined) {
       const created = members.createMember(entry)
-      all.set(entry.host, created)
+      membersByHost.set(entry.host, created)
       unsettled.add(created)
       return
     }
-    const returned = member.missingSince !== undefined || (member.entry.state === 'leaving' && entry.state === 'live')
-    if (returned) member.leavingAt = undefined
+    const hasReturned = member.missingSince !== undefined || (member.entry.state === 'leaving' && entry.state === 'live')
+    if (hasReturned) member.leavingAt = undefined
     member.missingSince = undefined
-    if (!sameEntry(member.entry, entry)) entriesChanged = true
+    if (!isSameEntry(member.entry, entry)) haveEntriesChanged = true
     member.entry = entry
-    if (returned || entry.state === 'leaving') unsettled.add(member)
+    if (hasReturned || entry.state === 'leaving') unsettled.add(member)
   }
 
-  function noteMissing (named: ReadonlySet<types.HostId>, now: number): void {
-    const missing = [...all.values()].filter((member) => !named.has(member.entry.host) && member.missingSince === undefined)
-    const known = [...all.values()].filter((member) => member.missingSince === undefined).length
-    const doubted = missing.length > known * settings.massLossFraction
-    for (const member of missing) {
+  function markMissing (listedHosts: ReadonlySet<types.HostId>, now: number): void {
+    const missingMembers = [...membersByHost.values()].filter((member) => !listedHosts.has(member.entry.host) && member.missingSince === undefined)
+    const listedCount = [...membersByHost.values()].filter((member) => member.missingSince === undefined).length
+    const isMassLoss = missingMembers.length > listedCount * settings.massLossFraction
+    for (const member of missingMembers) {
       member.missingSince = now
-      member.missingDoubted = doubted
+      member.isMassLoss = isMassLoss
       unsettled.add(member)
     }
   }
 
   function applyHostList (list: types.HostList, now: number): void {
     if (!isUsable(list, now)) return
-    const isFirst = takenAt === undefined
+    const isFirst = listAppliedAt === undefined
     const isKnown = !isFirst && list.version === listVersion
-    takenAt = now
-    lowerLists = 0
+    listAppliedAt = now
+    staleLists = 0
     listVersion = list.version
     if (isKnown) return
-    for (const entry of list.hosts) takeEntry(entry)
-    noteMissing(new Set(list.hosts.map((entry) => entry.host)), now)
+    for (const entry of list.hosts) applyEntry(entry)
+    markMissing(new Set(list.hosts.map((entry) => entry.host)), now)
     if (isFirst) applyBatch(now)
   }
 
-  function noteAnswer (host: types.HostId, incarnation: types.Incarnation, leaving: boolean, now: number): void {
-    const member = all.get(host)
-    if (member === undefined || !members.meetIncarnation(member, incarnation)) return
-    if (member.failures > 0 || member.shown !== 'live') unsettled.add(member)
+  function noteAnswer (host: types.HostId, incarnation: types.Incarnation, isLeaving: boolean, now: number): void {
+    const member = membersByHost.get(host)
+    if (member === undefined || !members.acceptIncarnation(member, incarnation)) return
+    if (member.failures > 0 || member.publishedState !== 'live') unsettled.add(member)
     member.failures = 0
-    member.probePauseMs = 0
-    if (leaving) startLeaving(member, now)
+    member.probeBackoffMs = 0
+    if (isLeaving) markLeaving(member, now)
   }
 
   function noteFailure (host: types.HostId, now: number): void {
-    const member = all.get(host)
+    const member = membersByHost.get(host)
     if (member === undefined || host === self) return
     member.failures += 1
     if (member.failures === 1) member.nextProbeAt = now + settings.probeMs
     unsettled.add(member)
   }
 
-  function startLeaving (member: members.Member, now: number): void {
+  function markLeaving (member: members.Member, now: number): void {
     member.leavingAt = now
     unsettled.add(member)
-    if (member.shown !== 'live' && member.shown !== 'suspect') return
-    members.show(member, 'leaving', now)
+    if (member.publishedState !== 'live' && member.publishedState !== 'suspect') return
+    members.publishState(member, 'leaving', now)
     publish()
   }
 
   function noteLeaving (host: types.HostId, now: number): void {
-    const member = all.get(host)
-    if (member !== undefined) startLeaving(member, now)
+    const member = membersByHost.get(host)
+    if (member !== undefined) markLeaving(member, now)
   }
 
-  function settle (member: members.Member, now: number): boolean {
-    const changed = members.show(member, members.stateOf(member, settings, now), now)
+  function updateState (member: members.Member, now: number): boolean {
+    const hasChanged = members.publishState(member, members.computeState(member, settings, now), now)
     if (members.isSettled(member)) unsettled.delete(member)
-    if (!members.isForgettable(member, settings, now)) return changed
+    if (!members.isForgettable(member, settings, now)) return hasChanged
     unsettled.delete(member)
-    all.delete(member.entry.host)
+    membersByHost.delete(member.entry.host)
     return true
   }
 
   function applyBatch (now: number): boolean {
-    batchAt = now
-    let changed = entriesChanged
-    for (const member of unsettled) changed = settle(member, now) || changed
-    if (changed) publish()
-    return changed
+    lastBatchAt = now
+    let hasChanged = haveEntriesChanged
+    for (const member of unsettled) hasChanged = updateState(member, now) || hasChanged
+    if (hasChanged) publish()
+    return hasChanged
   }
 
   function tick (now: number): boolean {
-    return now - batchAt >= settings.batchMs ? applyBatch(now) : false
+    return now - lastBatchAt >= settings.batchMs ? applyBatch(now) : false
   }
 
   return {
@@ -186,7 +190,7 @@
     noteLeaving,
     tick,
     getView: () => view,
-    takeProbes: (now) => probes.takeDue(unsettled, settings, now).map((member) => member.entry.host),
-    listTakenAt: () => takenAt
+    takeProbes: (now) => probes.takeDueProbes(unsettled, settings, now).map((member) => member.entry.host),
+    getListAppliedAt: () => listAppliedAt
   }
 }
--- a/packages/decide/order-queue/src/learn-remaining.ts
+++ b/packages/decide/order-queue/src/learn-remaining.ts
@@ -1,4 +1,4 @@
-/** Learns, by kind and turns so far, what a program still has before it. */
+/** Learns the remaining work of programs by kind and number of finished turns. */
 import type * as types from '@eelgrasswind/types'
 
 /** One finished call of a program, as the estimator sees it. */
@@ -7,11 +7,11 @@
   readonly tokens: number
   /** Time that the call ran, in milliseconds. */
   readonly runMs: number
-  /** The same and the pause after it, without waiting in queues, in milliseconds. */
+  /** Run time plus the pause after the call, without queueing, in milliseconds. */
   readonly ms: number
 }
 
-/** What is expected of the rest of a program. */
+/** Expected remaining work of a program; times in milliseconds. */
 export interface RemainingWork {
   readonly calls: number
   readonly tokens: number
@@ -19,11 +19,11 @@
   readonly ms: number
   /** Mean absolute deviation of `ms`. */
   readonly msDeviation: number
-  /** Programs that the estimate rests on, recent ones counting most; 0 for the prior alone. */
+  /** Number of programs behind the estimate, at most `1 / newestShare`; 0 if it is the prior. */
   readonly samples: number
 }
 
-/** What is assumed of a kind of which nothing has been seen. */
+/** Estimate for a kind without observations. */
 export interface RemainingPrior {
   readonly calls: number
   readonly tokens: number
@@ -31,9 +31,10 @@
   readonly ms: number
 }
 
+/** Settings of an estimator. */
 export interface RemainingSettings {
   readonly prior: RemainingPrior
-  /** Share that the newest program has in an estimate, 0 to 1. */
+  /** Minimum weight of the newest program in an estimate, 0 to 1. */
   readonly newestShare: number
 }
 
@@ -42,10 +43,11 @@
   newestShare: 0.02
 }
 
+/** Estimates remaining work from finished programs. */
 export interface RemainingEstimator {
-  /** Learns from a program that ran to its end; its turns in order. */
+  /** Records a finished program; turns in order. */
   observe: (kind: types.KindId, turns: readonly TurnWork[]) => void
-  /** What a program of this kind has before it after so many turns; 0 asks for the whole. */
+  /** Remaining work of a program of this kind after a number of turns; 0 gives that of a whole program. */
   estimate: (kind: types.KindId, turns: number) => RemainingWork
 }
 
@@ -58,26 +60,27 @@
   samples: number
 }
 
-/** Turn counts up to this one have a mean of their own; above it they share one for each doubling. */
-const exactTurns = 16
+/** Up to this number of turns each count has its own bucket; above it there is one per doubling. */
+const maxExactTurns = 16
 
+/** Creates an estimator without observations, which returns the prior. */
 export function createRemainingEstimator (settings: RemainingSettings = defaultRemainingSettings): RemainingEstimator {
   const kinds = new Map<types.KindId, Mean[]>()
 
   function observe (kind: types.KindId, turns: readonly TurnWork[]): void {
-    const means = meansOf(kind)
-    const rest = { calls: 0, tokens: 0, runMs: 0, ms: 0 }
-    for (let done = turns.length - 1; done >= 0; done -= 1) {
-      const turn = turns[done]!
-      rest.calls += 1
-      rest.tokens += turn.tokens
-      rest.runMs += turn.runMs
-      rest.ms += turn.ms
-      learn(means, bucketOf(done), rest)
+    const means = getOrCreateMeans(kind)
+    const remaining = { calls: 0, tokens: 0, runMs: 0, ms: 0 }
+    for (let turnsDone = turns.length - 1; turnsDone >= 0; turnsDone -= 1) {
+      const turn = turns[turnsDone]!
+      remaining.calls += 1
+      remaining.tokens += turn.tokens
+      remaining.runMs += turn.runMs
+      remaining.ms += turn.ms
+      updateMean(means, computeBucket(turnsDone), remaining)
     }
   }
 
-  function meansOf (kind: types.KindId): Mean[] {
+  function getOrCreateMeans (kind: types.KindId): Mean[] {
     const known = kinds.get(kind)
     if (known !== undefined) return known
     const created: Mean[] = []
@@ -85,33 +88,33 @@
     return created
   }
 
-  function learn (means: Mean[], bucket: number, rest: RemainingPrior): void {
+  function updateMean (means: Mean[], bucket: number, remaining: RemainingPrior): void {
     const mean = means[bucket] ?? { calls: 0, tokens: 0, runMs: 0, ms: 0, msDeviation: 0, samples: 0 }
     means[bucket] = mean
     mean.samples = Math.min(mean.samples + 1, 1 / settings.newestShare)
-    const share = 1 / mean.samples
-    const off = Math.abs(rest.ms - mean.ms)
-    mean.msDeviation += mean.samples === 1 ? rest.ms / 2 : share * (off - mean.msDeviation)
-    mean.calls += share * (rest.calls - mean.calls)
-    mean.tokens += share * (rest.tokens - mean.tokens)
-    mean.runMs += share * (rest.runMs - mean.runMs)
-    mean.ms += share * (rest.ms - mean.ms)
+    const weight = 1 / mean.samples
+    const deviation = Math.abs(remaining.ms - mean.ms)
+    mean.msDeviation += mean.samples === 1 ? remaining.ms / 2 : weight * (deviation - mean.msDeviation)
+    mean.calls += weight * (remaining.calls - mean.calls)
+    mean.tokens += weight * (remaining.tokens - mean.tokens)
+    mean.runMs += weight * (remaining.runMs - mean.runMs)
+    mean.ms += weight * (remaining.ms - mean.ms)
   }
 
-  function expect (kind: types.KindId, turns: number): RemainingWork {
+  function estimate (kind: types.KindId, turns: number): RemainingWork {
     const means = kinds.get(kind) ?? []
-    for (let bucket = bucketOf(turns); bucket >= 0; bucket -= 1) {
+    for (let bucket = computeBucket(turns); bucket >= 0; bucket -= 1) {
       const mean = means[bucket]
-      // A program beyond all that were seen is expected to go on like the longest of them.
+      // A program with more turns than any observed one gets the estimate of the longest bucket.
       if (mean !== undefined) return { ...mean }
     }
     return { ...settings.prior, msDeviation: settings.prior.ms / 2, samples: 0 }
   }
 
-  return { observe, estimate: expect }
+  return { observe, estimate }
 }
 
-function bucketOf (turns: number): number {
-  if (turns <= exactTurns) return turns
-  return exactTurns + Math.ceil(Math.log2(turns / exactTurns))
+function computeBucket (turns: number): number {
+  if (turns <= maxExactTurns) return turns
+  return maxExactTurns + Math.ceil(Math.log2(turns / maxExactTurns))
 }
--- a/packages/decide/place-call/src/slow-upstreams.ts
+++ b/packages/decide/place-call/src/slow-upstreams.ts
@@ -1,64 +1,67 @@
 /**
- * Notices upstreams that are slow while they report themselves healthy, from the times between the tokens of
- * one's own calls, compared with what is usual on the others.
+ * Detects upstreams that are slow although they report themselves as healthy: compares the time per token of this
+ * process's calls with that on the other upstreams.
  */
 import type * as types from '@eelgrasswind/types'
 
-export interface SlowSettings {
+/** Settings of the detector. */
+export interface SlowUpstreamSettings {
   /** Weight of the newest observation, 0 to 1. */
   readonly newestShare: number
-  /** Factors below this count as 1: batches differ in size. */
+  /** Factors below this count as 1, since batches differ in size. */
   readonly toleratedFactor: number
-  /** Time after which an upstream without new observations is believed half as slow. */
+  /** Time without new observations after which the excess over 1 is halved. */
   readonly halfLifeMs: number
 }
 
-export const defaultSlowSettings: SlowSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
+export const defaultSlowUpstreamSettings: SlowUpstreamSettings = { newestShare: 0.3, toleratedFactor: 2.5, halfLifeMs: 10_000 }
 
+/** Detector of slow upstreams. Times are in milliseconds. */
 export interface SlowUpstreamDetector {
-  /** Tokens that came on one stream in a time, both since the last observation of it; no token counts as a part of one. */
+  /** Records the tokens received on a stream and the time elapsed since its last observation; 0 tokens count as one. */
   observe: (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number) => void
-  /** Time for each token as a multiple of what is usual among the others; 1 when it is not out of the ordinary. */
+  /** Time per token as a multiple of the median of the other upstreams; 1 if it is within the tolerated factor. */
   getSlowFactor: (upstream: types.UpstreamId, now: number) => number
   forget: (upstream: types.UpstreamId) => void
 }
 
-interface Seen {
+interface Observation {
   msPerToken: number
   at: number
 }
 
-export function createSlowUpstreamDetector (settings: SlowSettings = defaultSlowSettings): SlowUpstreamDetector {
-  const seen = new Map<types.UpstreamId, Seen>()
+/** Creates a detector without observations, for which all factors are 1. */
+export function createSlowUpstreamDetector (settings: SlowUpstreamSettings = defaultSlowUpstreamSettings): SlowUpstreamDetector {
+  const observations = new Map<types.UpstreamId, Observation>()
 
   function observe (upstream: types.UpstreamId, tokens: number, elapsedMs: number, now: number): void {
     const msPerToken = elapsedMs / Math.max(1, tokens)
-    const known = seen.get(upstream)
-    if (known === undefined) {
-      seen.set(upstream, { msPerToken, at: now })
+    const observed = observations.get(upstream)
+    if (observed === undefined) {
+      observations.set(upstream, { msPerToken, at: now })
       return
     }
-    known.msPerToken += settings.newestShare * (msPerToken - known.msPerToken)
-    known.at = now
+    observed.msPerToken += settings.newestShare * (msPerToken - observed.msPerToken)
+    observed.at = now
   }
 
-  function factor (upstream: types.UpstreamId, now: number): number {
-    const own = seen.get(upstream)
-    const usual = usualOf(upstream)
-    if (own === undefined || usual === undefined) return 1
-    const raw = own.msPerToken / usual
-    if (raw < settings.toleratedFactor) return 1
-    // Without new observations it fades, so that an upstream that has recovered is tried again.
-    const fading = 0.5 ** (Math.max(0, now - own.at) / settings.halfLifeMs)
-    return 1 + (raw - 1) * fading
+  function getSlowFactor (upstream: types.UpstreamId, now: number): number {
+    const observed = observations.get(upstream)
+    const typicalMsPerToken = computeMedianOfOthers(upstream)
+    if (observed === undefined || typicalMsPerToken === undefined) return 1
+    const rawFactor = observed.msPerToken / typicalMsPerToken
+    if (rawFactor < settings.toleratedFactor) return 1
+    // The factor decays without new observations, so that an upstream that has recovered is used again.
+    const decay = 0.5 ** (Math.max(0, now - observed.at) / settings.halfLifeMs)
+    return 1 + (rawFactor - 1) * decay
   }
 
-  /** Median of the others. */
-  function usualOf (upstream: types.UpstreamId): number | undefined {
-    const others = [...seen].filter(([other]) => other !== upstream).map(([, { msPerToken }]) => msPerToken)
+  /** Median time per token of the other upstreams. */
+  function computeMedianOfOthers (upstream: types.UpstreamId): number | undefined {
+    const others = [...observations].filter(([other]) => other !== upstream).map(([, { msPerToken }]) => msPerToken)
     others.sort((a, b) => a - b)
     return others[Math.floor(others.length / 2)]
   }
 
-  return { observe, getSlowFactor: factor, forget: (upstream) => { seen.delete(upstream) } }
+  return { observe, getSlowFactor, forget: (upstream) => { observations.delete(upstream) } }
 }
--- a/packages/decide/retain-prefix/src/learn-pauses.ts
+++ b/packages/decide/retain-prefix/src/learn-pauses.ts
@@ -1,46 +1,48 @@
-/** Learns, by kind, how long programs pause between calls and how many never return. */
+/** Learns by kind how long programs pause between calls and what share never returns. */
 import type * as types from '@eelgrasswind/types'
 
-/** How the pauses of a kind are spread. */
+/** Distribution of the pauses of a kind. */
 export interface PauseStats {
-  /** Pauses seen, recent ones counting most. */
+  /** Number of observed pauses; older ones count less. */
   readonly samples: number
   /** Upper edges of the buckets, in milliseconds, ascending. */
   readonly edgesMs: readonly number[]
-  /** Share of all pauses that ended by a return, by bucket. */
+  /** Share of all pauses that ended with another call, by bucket. */
   readonly returned: readonly number[]
-  /** Share of all pauses after which the program never returned, by the time at which that became known. */
+  /** Share of all pauses after which the program made no further call, by the time at which that became known. */
   readonly gone: readonly number[]
 }
 
 /** How one pause ended. */
 export type PauseEnd =
   | { readonly type: 'returned', readonly afterMs: number }
-  /** The program finished, was cancelled or expired meanwhile. */
+  /** The program finished, was cancelled or expired during the pause. */
   | { readonly type: 'gone', readonly afterMs: number }
 
+/** Learns the distribution of pauses by kind. */
 export interface PauseLearner {
   observe: (kind: types.KindId, end: PauseEnd) => void
   getStats: (kind: types.KindId) => PauseStats
 }
 
-/** Counts by bucket. */
-interface Seen {
+/** Observed pauses of one kind, by bucket. */
+interface PauseCounts {
   returned: number[]
   gone: number[]
   samples: number
 }
 
 /** Bucket edges: a quarter of a second, doubling, up to about 17 minutes. */
-export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, at) => 250 * 2 ** at)
+export const pauseEdgesMs: readonly number[] = Array.from({ length: 13 }, (_, index) => 250 * 2 ** index)
 
-/** Sample count at which older pauses begin to fade. */
-const memorySamples = 400
+/** Number of samples at which all counts are halved, so that older pauses count less. */
+const maxSamples = 400
 
+/** Creates a learner without observations. */
 export function createPauseLearner (): PauseLearner {
-  const kinds = new Map<types.KindId, Seen>()
+  const kinds = new Map<types.KindId, PauseCounts>()
 
-  function countsOf (kind: types.KindId): Seen {
+  function getOrCreateCounts (kind: types.KindId): PauseCounts {
     const known = kinds.get(kind)
     if (known !== undefined) return known
     const created = { returned: pauseEdgesMs.map(() => 0), gone: pauseEdgesMs.map(() => 0), samples: 0 }
@@ -49,31 +51,31 @@
   }
 
   function observe (kind: types.KindId, end: PauseEnd): void {
-    const seen = countsOf(kind)
-    if (seen.samples >= memorySamples) fade(seen)
-    seen.samples += 1
-    const counts = end.type === 'gone' ? seen.gone : seen.returned
+    const pauseCounts = getOrCreateCounts(kind)
+    if (pauseCounts.samples >= maxSamples) halveCounts(pauseCounts)
+    pauseCounts.samples += 1
+    const bucketCounts = end.type === 'gone' ? pauseCounts.gone : pauseCounts.returned
     const bucket = pauseEdgesMs.findIndex((edge) => end.afterMs <= edge)
-    const at = bucket < 0 ? pauseEdgesMs.length - 1 : bucket
-    counts[at] = counts[at]! + 1
+    const bucketIndex = bucket < 0 ? pauseEdgesMs.length - 1 : bucket
+    bucketCounts[bucketIndex] = bucketCounts[bucketIndex]! + 1
   }
 
-  function stats (kind: types.KindId): PauseStats {
-    const seen = countsOf(kind)
-    const share = seen.samples === 0 ? 0 : 1 / seen.samples
+  function getStats (kind: types.KindId): PauseStats {
+    const pauseCounts = getOrCreateCounts(kind)
+    const share = pauseCounts.samples === 0 ? 0 : 1 / pauseCounts.samples
     return {
-      samples: seen.samples,
+      samples: pauseCounts.samples,
       edgesMs: pauseEdgesMs,
-      returned: seen.returned.map((count) => count * share),
-      gone: seen.gone.map((count) => count * share)
+      returned: pauseCounts.returned.map((count) => count * share),
+      gone: pauseCounts.gone.map((count) => count * share)
     }
   }
 
-  return { observe, getStats: stats }
+  return { observe, getStats }
 }
 
-function fade (seen: Seen): void {
-  seen.returned = seen.returned.map((count) => count / 2)
-  seen.gone = seen.gone.map((count) => count / 2)
-  seen.samples /= 2
+function halveCounts (pauseCounts: PauseCounts): void {
+  pauseCounts.returned = pauseCounts.returned.map((count) => count / 2)
+  pauseCounts.gone = pauseCounts.gone.map((count) => count / 2)
+  pauseCounts.samples /= 2
 }
--- a/packages/decide/track-upstreams/src/peer-loads.ts
+++ b/packages/decide/track-upstreams/src/peer-loads.ts
@@ -1,43 +1,43 @@
 /**
- * What the other processes have running at each upstream, from what they report. A process sees only its own share of
- * an upstream's load: with 29 processes before 24 upstreams of 8 slots, that is about one request in 29.
+ * Sums up the requests that other processes report to have in flight at each upstream. A process sees only its own
+ * share of an upstream's load: with 29 processes in front of 24 upstreams of 8 slots, about one request in 29.
  */
 import type * as types from '@eelgrasswind/types'
 
-/** Requests that one process has running, by upstream; upstreams without any are left out. */
+/** Requests that one process has in flight, by upstream; upstreams without any are omitted. */
 export type RunningCounts = ReadonlyMap<types.UpstreamId, number>
 
 interface PeerReport {
   counts: RunningCounts
-  at: number
+  receivedAt: number
 }
 
-/** A report older than this, in ms, says nothing any more: several reports were lost, or the process has ended. */
-const reportLifeMs = 3_000
+/** A report older than this, in ms, is stale: several later reports were lost, or the process has ended. */
+const reportTtlMs = 3_000
 
-/** The latest report of each peer, and their sums. */
+/** Keeps the latest report of each peer and the sums over all peers. */
 export class PeerLoads {
   private readonly reports = new Map<string, PeerReport>()
   private readonly sums = new Map<types.UpstreamId, number>()
 
-  /** Takes the report of one peer in place of its former one. Monotonic ms. */
+  /** Replaces the previous report of a peer; `now`: monotonic ms. */
   applyReport (peer: string, counts: RunningCounts, now: number): void {
-    const former = this.reports.get(peer)
-    if (former !== undefined) this.add(former.counts, -1)
-    this.add(counts, 1)
-    this.reports.set(peer, { counts, at: now })
+    const previous = this.reports.get(peer)
+    if (previous !== undefined) this.addToSums(previous.counts, -1)
+    this.addToSums(counts, 1)
+    this.reports.set(peer, { counts, receivedAt: now })
   }
 
-  /** Forgets the reports of peers that have fallen silent. */
+  /** Drops reports that are too old. */
   expire (now: number): void {
-    for (const [peer, { counts, at }] of this.reports) {
-      if (now - at <= reportLifeMs) continue
-      this.add(counts, -1)
+    for (const [peer, { counts, receivedAt }] of this.reports) {
+      if (now - receivedAt <= reportTtlMs) continue
+      this.addToSums(counts, -1)
       this.reports.delete(peer)
     }
   }
 
-  /** Peers whose reports count. */
+  /** Peers with a current report. */
   get peers (): Iterable<string> {
     return this.reports.keys()
   }
@@ -46,12 +46,12 @@
     return this.reports.size
   }
 
-  /** Requests that other processes have running there. */
+  /** Requests that other processes have in flight at the upstream. */
   getRunning (upstream: types.UpstreamId): number {
     return this.sums.get(upstream) ?? 0
   }
 
-  private add (counts: RunningCounts, sign: 1 | -1): void {
+  private addToSums (counts: RunningCounts, sign: 1 | -1): void {
     for (const [upstream, count] of counts) {
       const sum = (this.sums.get(upstream) ?? 0) + sign * count
       if (sum === 0) this.sums.delete(upstream)
