--- a/packages/state/turn-ledger/src/turn-ledger.test.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.test.ts
@@ -112,7 +112,7 @@
   if (ended.type !== 'settled') throw new Error(ended.type)
   store(ended.writes)
   const second = turnRequest('b', 'a', 800)
-  t.match(former.admitTurn(second, now), { type: 'admitted', covered: true, writes: [] })
+  t.match(former.admitTurn(second, now), { type: 'admitted', isCovered: true, writes: [] })
   const next = new turnLedger.TurnLedger()
   for (const [key, value] of stored) next.loadRecord(key, value)
   t.equal(next.settleTurn(second, whole('b'), now).type, 'unknown')
@@ -222,7 +222,7 @@
   ledger.activateAllowance(now)
   const enquiry = (id: string): turnLedger.TurnRequest => ({ ...turnRequest(id, undefined, 120), keeps: false })
   for (const id of ['a', 'b']) {
-    t.match(ledger.admitTurn(enquiry(id), now), { type: 'admitted', covered: true, writes: [] })
+    t.match(ledger.admitTurn(enquiry(id), now), { type: 'admitted', isCovered: true, writes: [] })
     t.match(ledger.settleTurn(enquiry(id), whole(id, 11), now), { type: 'settled', writes: [] })
   }
   const next = new turnLedger.TurnLedger()
@@ -260,7 +260,7 @@
   for (const { key, value } of writes) next.loadRecord(key, value!)
   next.activateAllowance(now)
   const request = { ...turnRequest('b', 'a', 40), program: 'new' as types.ProgramId }
-  t.match(next.admitTurn(request, now), { type: 'admitted', covered: false })
+  t.match(next.admitTurn(request, now), { type: 'admitted', isCovered: false })
   t.end()
 })
 
