--- a/packages/state/own-shards/src/owned-shard.test.ts
+++ b/packages/state/own-shards/src/owned-shard.test.ts
@@ -6,7 +6,7 @@
 
 const partition = { topic: 'keyed.turns-0', part: 0 }
 
-tap.test('a shard with a record that can not be read is not served', async (t) => {
+tap.test('a shard with an undecodable record is not served', async (t) => {
   const timers = timerService.createManualTimers()
   const store = new standIns.MemoryShardLog(timers, 1)
   const decisions: decisionLog.Decision[] = []
--- a/packages/state/own-shards/src/owned-shard.ts
+++ b/packages/state/own-shards/src/owned-shard.ts
@@ -1,4 +1,4 @@
-/** One shard that this process owns: fences the former owner, loads the ledger, then serves. */
+/** One shard that this process owns: fences the former owner, loads the ledger from the store, then serves. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as types from '@eelgrasswind/types'
 import type * as shardLog from '@eelgrasswind/shard-log'
@@ -6,16 +6,18 @@
 import * as turnLedger from '@eelgrasswind/turn-ledger'
 import * as shardWriter from './shard-writer.js'
 
-/** Where a shard is on its way through this process. */
+/** Lifecycle state of a shard in this process. */
 export type ShardState =
-  /** The former owner is being fenced, or the records are being read. */
+  /** The former owner is being fenced or the records are being loaded. */
   | 'opening'
+  /** Accepts new turns. */
   | 'serving'
-  /** Takes no new turns; waits for the store's last answers. */
+  /** Accepts no new turns and waits for its pending appends. */
   | 'closing'
+  /** Not owned any more: fenced, handed over or closed. */
   | 'lost'
 
-/** What a shard needs from its owner. */
+/** Dependencies of a shard. */
 export interface OwnedShardPorts {
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
@@ -23,123 +25,126 @@
   readonly onLost: (shard: OwnedShard, reason: string) => void
 }
 
-/** Pause before a page that could not be read is asked for again, in ms. */
-const readRetryMs = 60
+/** Delay before a failed page read is repeated, in ms. */
+const readRetryDelayMs = 60
 
-/** A shard from the moment that the group gives it to this process until it is lost or handed over. */
+/** A shard from its assignment to this process until it is lost or handed over. */
 export class OwnedShard {
   readonly ledger = new turnLedger.TurnLedger()
   private readonly writer: shardWriter.ShardWriter
-  private current: ShardState = 'opening'
-  /** The allowance of programs without a record may be in force in the store. */
-  private begun = false
+  private currentState: ShardState = 'opening'
+  /** The write that activates the allowance of programs without a record was sent and may be stored. */
+  private hasSentAllowance = false
 
   constructor (readonly partition: shardLog.Partition, readonly epoch: number, private readonly ports: OwnedShardPorts) {
     this.writer = new shardWriter.ShardWriter(partition, epoch, {
       log: ports.log,
       timers: ports.timers,
       decisions: ports.decisions,
-      onLost: (reason) => { this.lose(reason) }
+      onLost: (reason) => { this.handleLost(reason) }
     })
   }
 
   get state (): ShardState {
-    return this.current
+    return this.currentState
   }
 
-  /** Resolves when the shard serves, or is lost. */
+  /** Resolves when the shard serves, is lost or turns out to be unreadable. */
   async open (): Promise<void> {
     const startedAt = this.ports.timers.monotonic()
-    const fenced = await this.writer.open()
-    if (fenced.type === 'lost') return
-    const count = await this.loadAll()
-    if (this.current !== 'opening' || count === undefined) return
-    this.begun = true
-    const begun = await this.commit(this.ledger.activateAllowance(this.ports.timers.now() as types.EpochMs))
-    if (this.current !== 'opening' || begun.type === 'lost') return
-    this.current = 'serving'
+    const fencing = await this.writer.open()
+    if (fencing.type === 'lost') return
+    const recordCount = await this.loadLedger()
+    if (this.currentState !== 'opening' || recordCount === undefined) return
+    this.hasSentAllowance = true
+    const activation = await this.commit(this.ledger.activateAllowance(this.ports.timers.now() as types.EpochMs))
+    if (this.currentState !== 'opening' || activation.type === 'lost') return
+    this.currentState = 'serving'
     const tookMs = Math.round(this.ports.timers.monotonic() - startedAt)
-    this.ports.decisions.note({ event: 'shardOpened', partition: this.partition, epoch: this.epoch, records: count, tookMs })
+    this.ports.decisions.note({ event: 'shardOpened', partition: this.partition, epoch: this.epoch, records: recordCount, tookMs })
   }
 
-  /** Resolves when the writes are stored, or the shard is lost. */
+  /** Resolves when the writes are stored or the shard is lost. */
   async commit (writes: readonly turnLedger.LedgerWrite[]): Promise<shardWriter.CommitOutcome> {
-    const commit = await this.writer.commit(writes)
-    if (commit.type === 'committed') this.ledger.noteStored(writes)
-    return commit
+    const outcome = await this.writer.commit(writes)
+    if (outcome.type === 'committed') this.ledger.acknowledgeWrites(writes)
+    return outcome
   }
 
-  /** Asks the store whether this process still owns the shard; what the ledger doesn't hold then doesn't exist. */
+  /** Confirms with the store that this process still owns the shard: if it does, a turn missing from the ledger doesn't exist. */
   confirmOwnership (): Promise<shardWriter.CommitOutcome> {
     return this.writer.commit([])
   }
 
-  /** How long the store has left an append of this shard unanswered, in ms. */
+  /** How long the append in flight of this shard has been unanswered, in ms; 0 if none is in flight. */
   get unansweredMs (): number {
     return this.writer.unansweredMs
   }
 
-  refuseNew (): void {
-    if (this.current !== 'lost') this.current = 'closing'
+  refuseNewTurns (): void {
+    if (this.currentState !== 'lost') this.currentState = 'closing'
   }
 
   /**
-   * Takes no new turns and gives the shard up once the store has answered what is under way, or after the time given.
-   * Turns that still run are settled with the next owner.
+   * Refuses new turns and releases the shard once the pending appends are answered, or after the timeout in ms. Turns
+   * that are still running are settled with the next owner.
    */
-  async handOver (limitMs: number): Promise<void> {
-    this.refuseNew()
-    const writes = this.begun && this.current !== 'lost' ? this.ledger.finish() : []
-    await timerService.within(this.ports.timers, this.commit(writes), limitMs)
+  async handOver (timeoutMs: number): Promise<void> {
+    this.refuseNewTurns()
+    const writes = this.hasSentAllowance && this.currentState !== 'lost' ? this.ledger.prepareHandover() : []
+    await timerService.within(this.ports.timers, this.commit(writes), timeoutMs)
     this.close()
   }
 
-  /** Gives the shard up at once. */
+  /** Stops owning the shard at once, without a handover. */
   close (): void {
-    this.current = 'lost'
+    this.currentState = 'lost'
     this.writer.close()
   }
 
-  /** Removes what is past its retention. Not awaited: what is not removed now is removed by the next owner. */
-  expire (now: types.EpochMs): void {
-    if (this.current !== 'serving') return
-    const writes = this.ledger.expire(now)
+  /** Removes records past their retention. Doesn't wait for the store: the next owner removes whatever is not removed now. */
+  removeExpired (now: types.EpochMs): void {
+    if (this.currentState !== 'serving') return
+    const writes = this.ledger.removeExpired(now)
     if (writes.length > 0) void this.commit(writes)
   }
 
-  private lose (reason: string): void {
-    if (this.current === 'lost') return
-    this.current = 'lost'
+  private handleLost (reason: string): void {
+    if (this.currentState === 'lost') return
+    this.currentState = 'lost'
     this.ports.onLost(this, reason)
   }
 
-  /** The number of records; `undefined` where one can't be read: to serve without it could deny what was promised. */
-  private async loadAll (): Promise<number | undefined> {
+  /**
+   * Loads all records and returns their number. Returns `undefined` if one can't be decoded: serving without it could deny
+   * an acknowledged turn.
+   */
+  private async loadLedger (): Promise<number | undefined> {
     try {
-      const count = await this.load()
+      const recordCount = await this.readAllPages()
       this.ledger.extendLoadedChains()
-      return count
+      return recordCount
     } catch (err) {
       this.ports.decisions.note({ event: 'shardUnreadable', partition: this.partition, epoch: this.epoch, err })
       return undefined
     }
   }
 
-  private async load (): Promise<number> {
+  private async readAllPages (): Promise<number> {
     let after: string | undefined
-    let count = 0
-    while (this.current === 'opening') {
+    let recordCount = 0
+    while (this.currentState === 'opening') {
       const page = await this.ports.log.newest(this.partition, after)
       if (page.type !== 'page') {
         this.ports.decisions.note({ event: 'shardNotRead', partition: this.partition, failure: page })
-        await timerService.sleep(this.ports.timers, readRetryMs)
+        await timerService.sleep(this.ports.timers, readRetryDelayMs)
         continue
       }
       for (const record of page.records) this.ledger.loadRecord(record.key, record.value)
-      count += page.records.length
-      if (page.after === undefined) return count
+      recordCount += page.records.length
+      if (page.after === undefined) return recordCount
       after = page.after
     }
-    return count
+    return recordCount
   }
 }
--- a/packages/state/own-shards/src/ownership.test.ts
+++ b/packages/state/own-shards/src/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Whatever happens to owners and the store: what was acknowledged is known to whoever serves the shard later. */
+/** Property test of shard ownership: under random crashes, evictions and store faults, every acknowledged turn is known to each later owner of its shard. */
 import * as assert from 'node:assert/strict'
 import tap from 'tap'
 import * as fc from 'fast-check'
@@ -10,7 +10,7 @@
 import * as shardOwner from './shard-owner.js'
 
 const parts = 4
-const names = ['a', 'b', 'c'] as const
+const memberNames = ['a', 'b', 'c'] as const
 const seed = 20_261_202
 const now = 1_000_000 as types.EpochMs
 
@@ -21,27 +21,27 @@
   | { readonly type: 'evict', readonly by: number, readonly member: number }
   | { readonly type: 'wait', readonly ms: number }
 
-const member = fc.integer({ min: 0, max: names.length - 1 })
-const step: fc.Arbitrary<Step> = fc.oneof(
+const memberArbitrary = fc.integer({ min: 0, max: memberNames.length - 1 })
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   { weight: 6, arbitrary: fc.record({ type: fc.constant('turn' as const), program: fc.integer({ min: 0, max: 7 }) }) },
-  { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('kill' as const, 'restart' as const, 'heal' as const, 'revoke' as const, 'leave' as const), member }) },
-  { weight: 2, arbitrary: fc.record({ type: fc.constant('fault' as const), member, fault: fc.constantFrom('refuse' as const, 'loseAnswers' as const, 'silent' as const) }) },
-  { weight: 1, arbitrary: fc.record({ type: fc.constant('evict' as const), by: member, member }) },
+  { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('kill' as const, 'restart' as const, 'heal' as const, 'revoke' as const, 'leave' as const), member: memberArbitrary }) },
+  { weight: 2, arbitrary: fc.record({ type: fc.constant('fault' as const), member: memberArbitrary, fault: fc.constantFrom('refuse' as const, 'loseAnswers' as const, 'silent' as const) }) },
+  { weight: 1, arbitrary: fc.record({ type: fc.constant('evict' as const), by: memberArbitrary, member: memberArbitrary }) },
   { weight: 4, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 1, max: 2_000 }) }) }
 )
 
-class World {
+class Cluster {
   readonly timers = timerService.createManualTimers()
   private readonly store = new standIns.MemoryShardLog(this.timers, parts)
-  private readonly faults = names.map(() => standIns.noFaults())
-  private owners: (shardOwner.ShardOwner | undefined)[] = names.map((_, at) => this.start(at))
-  private turns = 0
-  /** Turns whose end was acknowledged, with their programs. */
-  readonly acknowledged = new Map<turnLedger.TurnId, types.ProgramId>()
+  private readonly faults = memberNames.map(() => standIns.noFaults())
+  private owners: (shardOwner.ShardOwner | undefined)[] = memberNames.map((_, index) => this.startMember(index))
+  private turnCount = 0
+  /** Turns whose settlement the store acknowledged, with their programs. */
+  readonly acknowledgedTurns = new Map<turnLedger.TurnId, types.ProgramId>()
 
-  private start (at: number): shardOwner.ShardOwner {
-    const owner = new shardOwner.ShardOwner({ group: 'homes', member: names[at]!, topics: ['keyed.turns-0'], partitionsPerTopic: parts, leaseMs: 1_100, heartbeatMs: 300, ownersPollMs: 1_000, handoverTimeoutMs: 900 }, {
-      log: this.store.client(this.faults[at]),
+  private startMember (index: number): shardOwner.ShardOwner {
+    const owner = new shardOwner.ShardOwner({ group: 'homes', member: memberNames[index]!, topics: ['keyed.turns-0'], partitionsPerTopic: parts, leaseMs: 1_100, heartbeatMs: 300, ownersPollMs: 1_000, handoverTimeoutMs: 900 }, {
+      log: this.store.client(this.faults[index]),
       timers: this.timers,
       decisions: decisionLog.createSilentDecisionLog(),
       onShardsReleased: () => { for (const other of this.owners) if (other !== owner) other?.joinNow() }
@@ -50,86 +50,87 @@
     return owner
   }
 
-  async apply (next: Step): Promise<void> {
-    switch (next.type) {
+  async applyStep (step: Step): Promise<void> {
+    switch (step.type) {
       case 'turn':
-        this.keepTurn(`program-${next.program}` as types.ProgramId)
+        this.runTurn(`program-${step.program}` as types.ProgramId)
         return
       case 'kill':
-        this.owners[next.member]?.close()
-        this.owners[next.member] = undefined
+        this.owners[step.member]?.close()
+        this.owners[step.member] = undefined
         return
       case 'restart':
-        this.owners[next.member]?.close()
-        this.owners[next.member] = this.start(next.member)
+        this.owners[step.member]?.close()
+        this.owners[step.member] = this.startMember(step.member)
         return
       case 'leave':
-        void this.owners[next.member]?.leave()
+        void this.owners[step.member]?.leave()
         return
       case 'heal':
-        Object.assign(this.faults[next.member]!, standIns.noFaults())
+        Object.assign(this.faults[step.member]!, standIns.noFaults())
         return
       case 'fault':
-        this.faults[next.member]![next.fault] = true
+        this.faults[step.member]![step.fault] = true
         return
       case 'revoke':
-        this.store.revoke(names[next.member]!)
+        this.store.revoke(memberNames[step.member]!)
         return
       case 'evict':
-        void this.owners[next.by]?.evict(names[next.member]!, 'ended')
+        void this.owners[step.by]?.evict(memberNames[step.member]!, 'ended')
         return
       case 'wait':
-        await this.timers.advanceAsync(next.ms)
+        await this.timers.advanceAsync(step.ms)
     }
   }
 
-  /** Every process that thinks that it serves the program runs a turn: only appends that the store takes count. */
-  private keepTurn (program: types.ProgramId): void {
+  /** Runs a turn at every process that believes it serves the program; a turn counts as acknowledged only if the store accepted its appends. */
+  private runTurn (program: types.ProgramId): void {
     for (const owner of this.owners) {
-      const place = owner?.locate(owner.getPartition(program))
-      if (place?.type !== 'here' || place.shard.state !== 'serving') continue
-      const turn = `turn-${this.turns++}` as turnLedger.TurnId
+      const location = owner?.locate(owner.getPartition(program))
+      if (location?.type !== 'here' || location.shard.state !== 'serving') continue
+      const turn = `turn-${this.turnCount++}` as turnLedger.TurnId
       const request: turnLedger.TurnRequest = { turn, program, account: undefined, previous: undefined, maxTokens: 10, budgetTokens: undefined, keeps: true, retainMs: 600_000 }
-      const admission = place.shard.ledger.admitTurn(request, now)
+      const admission = location.shard.ledger.admitTurn(request, now)
       if (admission.type !== 'admitted') continue
-      void place.shard.commit(admission.writes).then(async (reserved) => {
-        if (reserved.type === 'lost') return
-        const end = place.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
-        const kept = await place.shard.commit(end.type === 'settled' ? end.writes : [])
-        if (end.type === 'settled' && kept.type === 'committed') this.acknowledged.set(turn, program)
+      void location.shard.commit(admission.writes).then(async (reservation) => {
+        if (reservation.type === 'lost') return
+        const settlement = location.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
+        const commit = await location.shard.commit(settlement.type === 'settled' ? settlement.writes : [])
+        if (settlement.type === 'settled' && commit.type === 'committed') this.acknowledgedTurns.set(turn, program)
       })
     }
   }
 
-  async settle (): Promise<void> {
+  /** Clears every fault, restarts every member and waits until the assignment is stable. */
+  async recover (): Promise<void> {
     for (const faults of this.faults) Object.assign(faults, standIns.noFaults())
-    this.owners = this.owners.map((owner, at) => {
+    this.owners = this.owners.map((owner, index) => {
       owner?.close()
-      return this.start(at)
+      return this.startMember(index)
     })
     await this.timers.advanceAsync(20_000)
   }
 
-  /** What is served now, and by how many. */
-  check (): void {
-    const serving = this.owners.flatMap((owner) => owner?.listServingShards() ?? [])
-    assert.equal(serving.length, parts, 'each shard is served once')
-    for (const [turn, program] of this.acknowledged) {
-      const place = this.owners.map((owner) => owner!.locate(owner!.getPartition(program))).find(({ type }) => type === 'here')
-      assert.ok(place?.type === 'here' && place.shard.ledger.exportChain(turn, undefined) !== undefined, `${turn} was acknowledged and is lost`)
+  /** Checks that each shard has exactly one serving owner and that this owner knows every acknowledged turn. */
+  checkInvariants (): void {
+    const servingShards = this.owners.flatMap((owner) => owner?.listServingShards() ?? [])
+    assert.equal(servingShards.length, parts, 'each shard is served once')
+    for (const [turn, program] of this.acknowledgedTurns) {
+      const location = this.owners.map((owner) => owner!.locate(owner!.getPartition(program))).find(({ type }) => type === 'here')
+      assert.ok(location?.type === 'here' && location.shard.ledger.exportChain(turn, undefined) !== undefined, `${turn} was acknowledged and is lost`)
     }
   }
 }
 
 tap.test('an acknowledged turn is known to every later owner', async (t) => {
-  let acknowledged = 0
-  await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 60 }), async (steps) => {
-    const world = new World()
-    await world.timers.advanceAsync(2_000)
-    for (const next of steps) await world.apply(next)
-    await world.settle()
-    world.check()
-    acknowledged += world.acknowledged.size
+  let acknowledgedCount = 0
+  await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { minLength: 5, maxLength: 60 }), async (steps) => {
+    const cluster = new Cluster()
+    await cluster.timers.advanceAsync(2_000)
+    for (const step of steps) await cluster.applyStep(step)
+    await cluster.recover()
+    cluster.checkInvariants()
+    acknowledgedCount += cluster.acknowledgedTurns.size
   }), { seed, numRuns: 150 })
-  t.ok(acknowledged > 100, `${acknowledged} turns were acknowledged`)
+  t.ok(acknowledgedCount > 100, `${acknowledgedCount} turns were acknowledged`)
 })
--- a/packages/state/own-shards/src/shard-owner.test.ts
+++ b/packages/state/own-shards/src/shard-owner.test.ts
@@ -27,51 +27,51 @@
   return { timers, store, start }
 }
 
-const served = (owner: shardOwner.ShardOwner): number => owner.listServingShards().length
+const countServing = (owner: shardOwner.ShardOwner): number => owner.listServingShards().length
 
-/** Keeps one turn of a program at an owner. */
-async function keepTurn (timers: timerService.ManualTimers, owner: shardOwner.ShardOwner, program: types.ProgramId, turn: string): Promise<string> {
-  const place = owner.locate(owner.getPartition(program))
-  if (place.type !== 'here') return place.type
+/** Runs one turn of a program at an owner and returns the outcome of its last step. */
+async function runTurn (timers: timerService.ManualTimers, owner: shardOwner.ShardOwner, program: types.ProgramId, turn: string): Promise<string> {
+  const location = owner.locate(owner.getPartition(program))
+  if (location.type !== 'here') return location.type
   const request: turnLedger.TurnRequest = { turn: turn as turnLedger.TurnId, program, account: undefined, previous: undefined, maxTokens: 10, budgetTokens: undefined, keeps: true, retainMs: 60_000 }
-  const admission = place.shard.ledger.admitTurn(request, now)
+  const admission = location.shard.ledger.admitTurn(request, now)
   if (admission.type !== 'admitted') return admission.type
-  const reserved = place.shard.commit(admission.writes)
+  const reservation = location.shard.commit(admission.writes)
   await timers.advanceAsync(20)
-  if ((await reserved).type === 'lost') return 'lost'
-  const end = place.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
-  const kept = place.shard.commit(end.type === 'settled' ? end.writes : [])
+  if ((await reservation).type === 'lost') return 'lost'
+  const settlement = location.shard.ledger.settleTurn(request, { type: 'whole', input: Buffer.from('in'), output: Buffer.from('out'), tokens: 10 }, now)
+  const commit = location.shard.commit(settlement.type === 'settled' ? settlement.writes : [])
   await timers.advanceAsync(20)
-  return (await kept).type
+  return (await commit).type
 }
 
-tap.test('two processes share the shards, and each is at one of them only', async (t) => {
+tap.test('two processes share the shards evenly, and each shard has one owner', async (t) => {
   const { timers, start } = fixture()
   const a = start('a')
   const b = start('b')
   await timers.advanceAsync(3_000)
-  t.equal(served(a) + served(b), parts)
-  t.equal(served(a), parts / 2)
+  t.equal(countServing(a) + countServing(b), parts)
+  t.equal(countServing(a), parts / 2)
 })
 
-tap.test('a member that falls silent loses its shards after the lease, with all that was kept', async (t) => {
+tap.test('the shards of a silent member move with their turns when its lease expires', async (t) => {
   const { timers, start } = fixture()
   const a = start('a')
   const b = start('b')
   await timers.advanceAsync(3_000)
-  const programs = Array.from({ length: 20 }, (_, at) => `program-${at}` as types.ProgramId)
-  const atA = programs.filter((program) => a.locate(a.getPartition(program)).type === 'here')
-  for (const program of atA) t.equal(await keepTurn(timers, a, program, `turn-${program}`), 'committed')
+  const programs = Array.from({ length: 20 }, (_, index) => `program-${index}` as types.ProgramId)
+  const programsAtA = programs.filter((program) => a.locate(a.getPartition(program)).type === 'here')
+  for (const program of programsAtA) t.equal(await runTurn(timers, a, program, `turn-${program}`), 'committed')
   a.close()
   await timers.advanceAsync(2_000)
-  t.equal(served(b), parts)
-  for (const program of atA) {
-    const place = b.locate(b.getPartition(program))
-    t.ok(place.type === 'here' && place.shard.ledger.exportChain(`turn-${program}` as turnLedger.TurnId, undefined))
+  t.equal(countServing(b), parts)
+  for (const program of programsAtA) {
+    const location = b.locate(b.getPartition(program))
+    t.ok(location.type === 'here' && location.shard.ledger.exportChain(`turn-${program}` as turnLedger.TurnId, undefined))
   }
 })
 
-tap.test('a member whose process has ended is given up at once', async (t) => {
+tap.test('the shards of a member whose process has ended move at once', async (t) => {
   const { timers, start } = fixture()
   const a = start('a')
   const b = start('b')
@@ -79,34 +79,34 @@
   a.close()
   void b.evict('a', 'ended')
   await timers.advanceAsync(100)
-  t.equal(served(b), parts)
+  t.equal(countServing(b), parts)
 })
 
-tap.test('a member that was given up while it lived can write nothing, and comes back', async (t) => {
+tap.test('a live member that was evicted is fenced, and rejoins the group', async (t) => {
   const { timers, start } = fixture()
   const faults = standIns.noFaults()
   const a = start('a', faults)
   const b = start('b')
   await timers.advanceAsync(3_000)
-  const program = Array.from({ length: 20 }, (_, at) => `program-${at}` as types.ProgramId).find((id) => a.locate(a.getPartition(id)).type === 'here')!
+  const program = Array.from({ length: 20 }, (_, index) => `program-${index}` as types.ProgramId).find((id) => a.locate(a.getPartition(id)).type === 'here')!
   faults.silent = true
   void b.evict('a', 'ended')
   await timers.advanceAsync(1_000)
-  t.equal(served(b), parts)
+  t.equal(countServing(b), parts)
   faults.silent = false
-  t.not(await keepTurn(timers, a, program, 'late'), 'committed')
+  t.not(await runTurn(timers, a, program, 'late'), 'committed')
   await timers.advanceAsync(3_000)
-  t.equal(served(a) + served(b), parts)
-  t.ok(served(a) > 0)
+  t.equal(countServing(a) + countServing(b), parts)
+  t.ok(countServing(a) > 0)
 })
 
-tap.test('a process that leaves hands its shards over within a few store calls', async (t) => {
+tap.test('a process that leaves hands over its shards within a few store calls', async (t) => {
   const { timers, start } = fixture()
   const a = start('a')
   const b = start('b')
   await timers.advanceAsync(3_000)
   void a.leave()
   await timers.advanceAsync(60)
-  t.equal(served(a), 0)
-  t.equal(served(b), parts)
+  t.equal(countServing(a), 0)
+  t.equal(countServing(b), parts)
 })
--- a/packages/state/own-shards/src/shard-owner.ts
+++ b/packages/state/own-shards/src/shard-owner.ts
@@ -1,4 +1,4 @@
-/** This process's part in the group that shares the shards: its lease, what it owns, and who owns the rest. */
+/** Membership of this process in the group that shares the shards: its lease, its own shards, and the owners of the others. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as types from '@eelgrasswind/types'
 import * as shardLog from '@eelgrasswind/shard-log'
@@ -6,108 +6,113 @@
 import * as timerService from '@eelgrasswind/timer-service'
 import * as ownedShard from './owned-shard.js'
 
-/** The group, this process in it, and its times. */
+/** The group, this process's name in it, and its timing. */
 export interface ShardOwnerSettings {
   readonly group: string
-  /** Name in the group: stable over restarts, so that a process that comes back soon keeps its shards. */
+  /** Name of this process in the group; stable over restarts, so that a process that restarts within its lease keeps its shards. */
   readonly member: string
   readonly topics: readonly string[]
-  /** Partitions of each topic. */
+  /** Number of partitions of each topic. */
   readonly partitionsPerTopic: number
-  /** Lease of a member that falls silent, in ms. */
+  /** Time after its last heartbeat at which a member's lease expires, in ms. */
   readonly leaseMs: number
-  /** Time between two renewals of the lease, in ms. */
+  /** Interval between two lease renewals, in ms. */
   readonly heartbeatMs: number
-  /** Time between two looks at who owns what, in ms. */
+  /** Poll interval for the owners of all shards, in ms. */
   readonly ownersPollMs: number
-  /** The longest that a handover waits for the store's last answers, in ms. */
+  /** Longest time that a handover waits for pending appends, in ms. */
   readonly handoverTimeoutMs: number
 }
 
-/** What the owner needs from its process. */
+/** Dependencies of a shard owner. */
 export interface ShardOwnerPorts {
-  /** Tells the other members that shards have become free, so that they need not wait for their next heartbeat. */
+  /** Called when shards have become free; the other members should be notified, so that they don't wait for their next heartbeat. */
   readonly onShardsReleased: () => void
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** Where the programs of a shard are served. */
+/** Where a shard is served. */
 export type ShardLocation =
+  /** By this process. */
   | { readonly type: 'here', readonly shard: ownedShard.OwnedShard }
   | { readonly type: 'member', readonly member: string }
-  /** Nobody is known to own it now. */
+  /** No current owner is known. */
   | { readonly type: 'unknown' }
 
-/** Two looks on demand are at least this far apart, in ms: a burst of failures costs one call. */
-const ownersOnDemandMs = 120
-/** Time between two removals of records past their retention, in ms. */
-const expireMs = 5_000
-/** Room below each generation for epochs that are taken within it. */
+/** Minimum interval between two reads of the owners, in ms: a burst of failures causes one call. */
+const minOwnersRefreshMs = 120
+/** Interval between two removals of expired records, in ms. */
+const expireIntervalMs = 5_000
+/** Number of epochs reserved for each generation of the group. */
 const epochsPerGeneration = 1e9
-/** Resolution of the epochs within a generation, in ms. */
+/** Time step of the epochs within a generation, in ms. */
 const epochStepMs = 100
-/** How far an epoch goes ahead after it was fenced at once: more than clocks differ. */
-const fencedEpochSteps = 600
+/** Steps by which later epochs are raised after a shard was lost: together longer than the clocks of two hosts differ. */
+const epochBumpSteps = 600
 
-/** Keeps the lease, opens and hands over shards as the group says, and knows who owns the others. */
+/** Renews the lease, opens and hands over shards as the group assigns them, and tracks the owners of the others. */
 export class ShardOwner {
-  private readonly owned = new Map<shardLog.PartitionName, ownedShard.OwnedShard>()
-  private owners = new Map<shardLog.PartitionName, string>()
-  private readonly evictedAt = new Map<string, number>()
+  private readonly ownedShards = new Map<shardLog.PartitionName, ownedShard.OwnedShard>()
+  private ownersByPartition = new Map<shardLog.PartitionName, string>()
+  /** Time of the last eviction of each member, in ms of the monotonic clock. */
+  private readonly evictedAtMs = new Map<string, number>()
   private generation = 0
-  private epochBump = 0
-  private ownersAt = -Infinity
-  private ownersReadAt = -Infinity
-  private askingOwners: Promise<void> | undefined
-  private stopped = false
-  private away = false
+  /** Steps added to every new epoch; raised whenever a shard is lost. */
+  private epochOffset = 0
+  /** When the owners were last requested and last received, in ms of the monotonic clock. */
+  private ownersRequestedAtMs = -Infinity
+  private ownersReadAtMs = -Infinity
+  private pendingRefresh: Promise<void> | undefined
+  private isStopped = false
+  private isSuspended = false
   private subscriptions: readonly timerService.Subscription[] = []
-  private joining = false
-  /** The next join gives shards up for others. */
-  private announceAfterJoin = false
+  /** A join or a handover is in progress; no further join is sent meanwhile. */
+  private isJoining = false
+  /** Shards were handed over; the next successful join releases them to the group, and `onShardsReleased` is called then. */
+  private hasUnannouncedRelease = false
 
   constructor (private readonly settings: ShardOwnerSettings, private readonly ports: ShardOwnerPorts) {}
 
-  /** Joins the group and keeps the lease until `leave`. */
+  /** Joins the group and renews the lease until `leave` or `close`. */
   start (): void {
     const { timers } = this.ports
     void this.join()
     this.subscriptions = [
       timers.every(this.settings.heartbeatMs, () => { void this.join() }),
       timers.every(this.settings.ownersPollMs, () => { void this.refreshOwners() }),
-      timers.every(expireMs, () => { this.expire() })
+      timers.every(expireIntervalMs, () => { this.removeExpiredRecords() })
     ]
     void this.refreshOwners()
   }
 
-  /** Stops at once and hands nothing over: the lease lapses. */
+  /** Stops at once without a handover; the lease expires by itself. */
   close (): void {
-    this.stopped = true
+    this.isStopped = true
     for (const subscription of this.subscriptions) subscription.cancel()
-    for (const shard of this.owned.values()) shard.close()
+    for (const shard of this.ownedShards.values()) shard.close()
   }
 
-  /** The shard that a program belongs to. */
+  /** The shard that a program belongs to, by the hash of its id. */
   getPartition (program: types.ProgramId): shardLog.Partition {
-    const { topics, partitionsPerTopic: parts } = this.settings
-    const index = hashText.hashText(program) % (topics.length * parts)
-    return { topic: topics[Math.floor(index / parts)]!, part: index % parts }
+    const { topics, partitionsPerTopic } = this.settings
+    const index = hashText.hashText(program) % (topics.length * partitionsPerTopic)
+    return { topic: topics[Math.floor(index / partitionsPerTopic)]!, part: index % partitionsPerTopic }
   }
 
   locate (partition: shardLog.Partition): ShardLocation {
     const name = shardLog.partitionName(partition)
-    const shard = this.owned.get(name)
+    const shard = this.ownedShards.get(name)
     if (shard !== undefined && shard.state !== 'lost') return { type: 'here', shard }
-    const member = this.owners.get(name)
+    const member = this.ownersByPartition.get(name)
     if (member === undefined || member === this.settings.member) return { type: 'unknown' }
     return { type: 'member', member }
   }
 
-  /** The shards that this process serves now. */
+  /** The shards that this process serves at present. */
   listServingShards (): ownedShard.OwnedShard[] {
-    return [...this.owned.values()].filter((shard) => shard.state === 'serving')
+    return [...this.ownedShards.values()].filter((shard) => shard.state === 'serving')
   }
 
   isSelf (member: string): boolean {
@@ -122,162 +127,167 @@
     return this.settings.topics.length * this.settings.partitionsPerTopic
   }
 
-  /** Every member that is known to own a shard. */
+  /** Every member known to own a shard. */
   listMembers (): string[] {
-    return [...new Set(this.owners.values())]
+    return [...new Set(this.ownersByPartition.values())]
   }
 
-  /** Age of what is known of the owners, in ms. */
+  /** Staleness of the known owners, in ms; infinite before the first answer. */
   get ownersAgeMs (): number {
-    return this.ports.timers.monotonic() - this.ownersReadAt
+    return this.ports.timers.monotonic() - this.ownersReadAtMs
   }
 
-  /** Looks again at who owns what, unless it was done just now. */
+  /** Reads the owners again, unless a read is in flight or was made very recently. */
   async refreshOwners (): Promise<void> {
     const { timers, log, decisions } = this.ports
-    if (this.askingOwners !== undefined) return this.askingOwners
-    if (timers.monotonic() - this.ownersAt < ownersOnDemandMs) return
-    this.ownersAt = timers.monotonic()
-    this.askingOwners = log.owners(this.settings.group).then((answer) => {
-      this.askingOwners = undefined
-      if (answer.type === 'owners') this.takeOwners(answer.owners)
+    if (this.pendingRefresh !== undefined) return this.pendingRefresh
+    if (timers.monotonic() - this.ownersRequestedAtMs < minOwnersRefreshMs) return
+    this.ownersRequestedAtMs = timers.monotonic()
+    this.pendingRefresh = log.owners(this.settings.group).then((answer) => {
+      this.pendingRefresh = undefined
+      if (answer.type === 'owners') this.setOwners(answer.owners)
       else decisions.note({ event: 'ownersNotRead', failure: answer })
     })
-    return this.askingOwners
+    return this.pendingRefresh
   }
 
-  /** Shards have become free: asks for them now. */
+  /** Joins at once because shards have become free, without waiting for the next heartbeat. */
   joinNow (): void {
     void this.join()
-    this.ownersAt = -Infinity
+    this.ownersRequestedAtMs = -Infinity
     void this.refreshOwners()
   }
 
   /**
-   * Gives the lease of a member back whose process has ended, as its host has said by refusing a connection, or which
-   * is silent: its shards move at once instead of after the lease. Fencing keeps this safe if it was wrong.
+   * Releases the lease of a member that is suspected to have failed: its process has ended, as its host showed by
+   * refusing a connection, or it is silent. Its shards move at once instead of when the lease expires. Fencing keeps
+   * this safe if the suspicion is wrong.
    */
-  async evict (member: string, why: 'ended' | 'silent'): Promise<void> {
-    const { timers, log, decisions, onShardsReleased: announce } = this.ports
+  async evict (member: string, cause: 'ended' | 'silent'): Promise<void> {
+    const { timers, log, decisions, onShardsReleased } = this.ports
     if (this.hasRecentlyEvicted(member)) return
-    this.evictedAt.set(member, timers.monotonic())
-    const left = await log.leave(this.settings.group, member)
-    decisions.note({ event: 'memberEvicted', member, why, outcome: left.type })
-    announce()
+    this.evictedAtMs.set(member, timers.monotonic())
+    const leaveOutcome = await log.leave(this.settings.group, member)
+    decisions.note({ event: 'memberEvicted', member, why: cause, outcome: leaveOutcome.type })
+    onShardsReleased()
     this.joinNow()
   }
 
-  /** Whether the lease of a member was given back just now, so that its shards are about to move. */
+  /** Whether this process evicted a member within the last lease time, so that its shards are about to move. */
   hasRecentlyEvicted (member: string): boolean {
-    return this.ports.timers.monotonic() < (this.evictedAt.get(member) ?? -Infinity) + this.settings.leaseMs
+    return this.ports.timers.monotonic() < (this.evictedAtMs.get(member) ?? -Infinity) + this.settings.leaseMs
   }
 
-  private takeOwners (owners: readonly shardLog.Owner[]): void {
-    this.ownersReadAt = this.ports.timers.monotonic()
-    this.owners = new Map(owners.map(({ partition, member }) => [shardLog.partitionName(partition), member]))
+  private setOwners (owners: readonly shardLog.Owner[]): void {
+    this.ownersReadAtMs = this.ports.timers.monotonic()
+    this.ownersByPartition = new Map(owners.map(({ partition, member }) => [shardLog.partitionName(partition), member]))
   }
 
-  /** Leaves for good. */
+  /** Hands over every shard and leaves the group for good. */
   async leave (): Promise<void> {
-    this.stopped = true
-    await this.handAllOver()
+    this.isStopped = true
+    await this.handOverAll()
   }
 
-  /** Gives every shard up until `standUp`: this process can't be reached by the others. Turns under way get the time given, in ms. */
+  /**
+   * Hands over every shard and stays out of the group until `resume`: used while the others can't reach this process.
+   * Turns in flight get the grace period, in ms.
+   */
   async suspend (graceMs: number): Promise<void> {
-    this.away = true
-    for (const shard of this.owned.values()) shard.refuseNew()
+    this.isSuspended = true
+    for (const shard of this.ownedShards.values()) shard.refuseNewTurns()
     await timerService.sleep(this.ports.timers, graceMs)
-    // Also where it can be reached again: the shards take no turns until they are opened anew.
-    if (!this.stopped) await this.handAllOver()
+    // Also after `resume` was called meanwhile: the closing shards accept no turns until they are reopened.
+    if (!this.isStopped) await this.handOverAll()
   }
 
+  /** Joins the group again after `suspend`. */
   resume (): void {
-    this.away = false
+    this.isSuspended = false
     void this.join()
   }
 
-  /** New turns go elsewhere, those under way end here and are settled with the next owners. */
-  private async handAllOver (): Promise<void> {
-    await Promise.all([...this.owned.values()].map((shard) => shard.handOver(this.settings.handoverTimeoutMs)))
-    this.owned.clear()
-    const left = await this.ports.log.leave(this.settings.group, this.settings.member)
-    this.ports.decisions.note({ event: 'groupLeft', outcome: left.type })
+  /** Refuses new turns, hands every shard over and leaves the group. Turns still in flight end here and are settled with the next owners. */
+  private async handOverAll (): Promise<void> {
+    await Promise.all([...this.ownedShards.values()].map((shard) => shard.handOver(this.settings.handoverTimeoutMs)))
+    this.ownedShards.clear()
+    const leaveOutcome = await this.ports.log.leave(this.settings.group, this.settings.member)
+    this.ports.decisions.note({ event: 'groupLeft', outcome: leaveOutcome.type })
     this.ports.onShardsReleased()
-    this.ownersAt = -Infinity
+    this.ownersRequestedAtMs = -Infinity
     await this.refreshOwners()
   }
 
   private async join (): Promise<void> {
-    if (this.stopped || this.away || this.joining) return
-    this.joining = true
+    if (this.isStopped || this.isSuspended || this.isJoining) return
+    this.isJoining = true
     const { group, member, topics, leaseMs } = this.settings
     const answer = await this.ports.log.join({ group, member, topics, ttlMs: leaseMs, generation: this.generation })
-    this.joining = false
-    if (this.stopped || this.away) return
-    if (answer.type === 'assigned' && this.announceAfterJoin) {
-      this.announceAfterJoin = false
+    this.isJoining = false
+    if (this.isStopped || this.isSuspended) return
+    if (answer.type === 'assigned' && this.hasUnannouncedRelease) {
+      this.hasUnannouncedRelease = false
       this.ports.onShardsReleased()
     }
     if (answer.type !== 'assigned') {
       this.ports.decisions.note({ event: 'leaseNotRenewed', failure: answer })
       return
     }
-    await this.follow(answer)
+    await this.applyAssignment(answer)
   }
 
-  /** Opens what is new, hands over what is gone; the next join tells the group that it is done. */
-  private async follow (assignment: shardLog.Assignment): Promise<void> {
-    const listed = new Map(assignment.partitions.map((partition) => [shardLog.partitionName(partition), partition]))
-    const gone = [...this.owned].filter(([name]) => !listed.has(name))
-    for (const [name, partition] of listed) {
-      if (!this.owned.has(name)) this.open(partition, assignment.generation)
+  /** Opens newly assigned shards and hands over revoked ones; the next join reports this generation to the group as applied. */
+  private async applyAssignment (assignment: shardLog.Assignment): Promise<void> {
+    const assigned = new Map(assignment.partitions.map((partition) => [shardLog.partitionName(partition), partition]))
+    const revoked = [...this.ownedShards].filter(([name]) => !assigned.has(name))
+    for (const [name, partition] of assigned) {
+      if (!this.ownedShards.has(name)) this.openShard(partition, assignment.generation)
     }
-    const changed = assignment.generation !== this.generation
-    if (gone.length > 0) await this.handOver(gone)
+    const isNewGeneration = assignment.generation !== this.generation
+    if (revoked.length > 0) await this.handOverShards(revoked)
     this.generation = assignment.generation
-    if (!changed) return
-    if (gone.length > 0) this.announceAfterJoin = true
-    this.ports.decisions.note({ event: 'assignment', generation: assignment.generation, owned: listed.size, handedOver: gone.length })
+    if (!isNewGeneration) return
+    if (revoked.length > 0) this.hasUnannouncedRelease = true
+    this.ports.decisions.note({ event: 'assignment', generation: assignment.generation, owned: assigned.size, handedOver: revoked.length })
     void this.refreshOwners()
     void this.join()
   }
 
-  private async handOver (gone: readonly (readonly [shardLog.PartitionName, ownedShard.OwnedShard])[]): Promise<void> {
-    this.joining = true
-    await Promise.all(gone.map(async ([name, shard]) => {
+  private async handOverShards (shards: readonly (readonly [shardLog.PartitionName, ownedShard.OwnedShard])[]): Promise<void> {
+    this.isJoining = true
+    await Promise.all(shards.map(async ([name, shard]) => {
       await shard.handOver(this.settings.handoverTimeoutMs)
-      if (this.owned.get(name) === shard) this.owned.delete(name)
+      if (this.ownedShards.get(name) === shard) this.ownedShards.delete(name)
     }))
-    this.joining = false
+    this.isJoining = false
   }
 
-  private open (partition: shardLog.Partition, generation: number): void {
-    const shard = new ownedShard.OwnedShard(partition, this.epochFor(generation), {
+  private openShard (partition: shardLog.Partition, generation: number): void {
+    const shard = new ownedShard.OwnedShard(partition, this.computeEpoch(generation), {
       ...this.ports,
-      onLost: (lost, reason) => { this.onLost(lost, reason) }
+      onLost: (lostShard, reason) => { this.handleLostShard(lostShard, reason) }
     })
-    this.owned.set(shardLog.partitionName(partition), shard)
+    this.ownedShards.set(shardLog.partitionName(partition), shard)
     void shard.open()
   }
 
-  /** Rises with the generation, and within it with time: a process that came back fences its own former life. */
-  private epochFor (generation: number): number {
-    const step = Math.floor(this.ports.timers.now() / epochStepMs) + this.epochBump
+  /** Epochs increase with the generation and, within one, with time, so that a restarted process fences its own former instance. */
+  private computeEpoch (generation: number): number {
+    const step = Math.floor(this.ports.timers.now() / epochStepMs) + this.epochOffset
     return generation * epochsPerGeneration + step % epochsPerGeneration
   }
 
-  private onLost (shard: ownedShard.OwnedShard, reason: string): void {
+  private handleLostShard (shard: ownedShard.OwnedShard, reason: string): void {
     const name = shardLog.partitionName(shard.partition)
     this.ports.decisions.note({ event: 'shardLost', partition: shard.partition, epoch: shard.epoch, reason })
-    if (this.owned.get(name) === shard) this.owned.delete(name)
-    this.epochBump += fencedEpochSteps
+    if (this.ownedShards.get(name) === shard) this.ownedShards.delete(name)
+    this.epochOffset += epochBumpSteps
     void this.refreshOwners()
     void this.join()
   }
 
-  private expire (): void {
+  private removeExpiredRecords (): void {
     const now = this.ports.timers.now() as types.EpochMs
-    for (const shard of this.owned.values()) shard.expire(now)
+    for (const shard of this.ownedShards.values()) shard.removeExpired(now)
   }
 }
--- a/packages/state/own-shards/src/shard-writer.test.ts
+++ b/packages/state/own-shards/src/shard-writer.test.ts
@@ -9,40 +9,40 @@
 function fixture () {
   const timers = timerService.createManualTimers()
   const store = new standIns.MemoryShardLog(timers, 8)
-  const lost: string[] = []
-  const writer = (epoch: number, faults = standIns.noFaults()) => new shardWriter.ShardWriter(partition, epoch, {
+  const lostReasons: string[] = []
+  const createWriter = (epoch: number, faults = standIns.noFaults()) => new shardWriter.ShardWriter(partition, epoch, {
     log: store.client(faults),
     timers,
     decisions: decisionLog.createSilentDecisionLog(),
-    onLost: (reason) => { lost.push(reason) }
+    onLost: (reason) => { lostReasons.push(reason) }
   })
-  return { timers, store, writer, lost }
+  return { timers, store, createWriter, lostReasons }
 }
 
-const record = (key: string) => ({ key, value: Buffer.from(key) })
+const createRecord = (key: string) => ({ key, value: Buffer.from(key) })
 
-tap.test('an append without records does not use up a sequence number', async (t) => {
-  const { timers, store, writer } = fixture()
-  const own = writer(1)
-  const done = Promise.all([own.open(), own.commit([record('a')]), own.commit([]), own.commit([record('b')])])
+tap.test('an append without records uses no sequence number', async (t) => {
+  const { timers, store, createWriter } = fixture()
+  const writer = createWriter(1)
+  const commits = Promise.all([writer.open(), writer.commit([createRecord('a')]), writer.commit([]), writer.commit([createRecord('b')])])
   await timers.advanceAsync(100)
-  const later = own.commit([record('c')])
+  const laterCommit = writer.commit([createRecord('c')])
   await timers.advanceAsync(100)
-  t.same((await done).map(({ type }) => type), ['committed', 'committed', 'committed', 'committed'])
-  t.equal((await later).type, 'committed')
+  t.same((await commits).map(({ type }) => type), ['committed', 'committed', 'committed', 'committed'])
+  t.equal((await laterCommit).type, 'committed')
   t.same(store.recordsOf(partition).map(({ key }) => key), ['a', 'b', 'c'])
 })
 
 tap.test('an append whose answer is lost is stored once', async (t) => {
-  const { timers, store, writer } = fixture()
+  const { timers, store, createWriter } = fixture()
   const faults = standIns.noFaults()
-  const own = writer(1, faults)
-  void own.open()
+  const writer = createWriter(1, faults)
+  void writer.open()
   await timers.advanceAsync(50)
   faults.loseAnswers = true
-  const commit = own.commit([record('a')])
+  const commit = writer.commit([createRecord('a')])
   await timers.advanceAsync(1_000)
-  t.ok(own.unansweredMs >= 1_000)
+  t.ok(writer.unansweredMs >= 1_000)
   faults.loseAnswers = false
   await timers.advanceAsync(1_000)
   t.equal((await commit).type, 'committed')
@@ -50,26 +50,26 @@
 })
 
 tap.test('a newer owner fences the former one', async (t) => {
-  const { timers, store, writer, lost } = fixture()
-  const former = writer(1)
-  const next = writer(2)
+  const { timers, store, createWriter, lostReasons } = fixture()
+  const former = createWriter(1)
+  const next = createWriter(2)
   void former.open()
   await timers.advanceAsync(50)
   void next.open()
   await timers.advanceAsync(50)
-  const late = former.commit([record('late')])
+  const lateCommit = former.commit([createRecord('late')])
   await timers.advanceAsync(50)
-  t.equal((await late).type, 'lost')
-  t.equal(lost.length, 1)
+  t.equal((await lateCommit).type, 'lost')
+  t.equal(lostReasons.length, 1)
   t.same(store.recordsOf(partition), [])
 })
 
-tap.test('what waits at a closed writer is told that it is lost', async (t) => {
-  const { timers, writer } = fixture()
-  const own = writer(1, { ...standIns.noFaults(), silent: true })
-  const commits = [own.commit([record('a')]), own.commit([record('b')])]
+tap.test('pending commits resolve as lost when the writer is closed', async (t) => {
+  const { timers, createWriter } = fixture()
+  const writer = createWriter(1, { ...standIns.noFaults(), silent: true })
+  const commits = [writer.commit([createRecord('a')]), writer.commit([createRecord('b')])]
   await timers.advanceAsync(100)
-  own.close()
+  writer.close()
   await timers.advanceAsync(1_000)
   t.same((await Promise.all(commits)).map(({ type }) => type), ['lost', 'lost'])
 })
--- a/packages/state/own-shards/src/shard-writer.ts
+++ b/packages/state/own-shards/src/shard-writer.ts
@@ -1,42 +1,45 @@
-/** Appends the records of one shard: one append under way at a time, the next one collects meanwhile. */
+/** Appends the records of one shard in batches: one append is in flight at a time, commits made meanwhile form the next batch. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as shardLog from '@eelgrasswind/shard-log'
 import * as timerService from '@eelgrasswind/timer-service'
 
-/** Whether records are durable. */
+/** Whether the records of a commit are durable. */
 export type CommitOutcome =
   | { readonly type: 'committed' }
-  /** Another owner has taken the shard, or this one gave it up: the records are not stored. */
+  /** This process no longer owns the shard, after a takeover or because the writer was closed: the records count as not stored. */
   | { readonly type: 'lost' }
 
-/** What a writer needs from its shard. */
+/** Dependencies of a writer. */
 export interface ShardWriterPorts {
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
-  /** Called once when the store says that the shard has a newer owner. */
+  /** Called once when the store reports that the shard has a newer owner. */
   readonly onLost: (reason: string) => void
 }
 
-interface Waiting {
+interface PendingCommit {
   readonly records: readonly shardLog.KeyedRecord[]
-  readonly resolve: (commit: CommitOutcome) => void
+  readonly resolve: (outcome: CommitOutcome) => void
 }
 
-/** Pause before a refused or unanswered append is repeated, in ms: a few store answers long, so that an outage costs few calls. */
-const firstRetryMs = 20
-const maxRetryMs = 300
-/** Bytes of records in one append, below the smallest limit that a store is known to have. */
+/**
+ * Bounds of the exponential backoff before a refused or unanswered append is repeated, in ms. The shortest delay is a few
+ * store round trips long, so that an outage causes few calls.
+ */
+const minRetryDelayMs = 20
+const maxRetryDelayMs = 300
+/** Maximum size of the records in one append, in bytes; below the smallest limit of any known store. */
 const maxBatchBytes = 1_000_000
 
-/** The only way in which records of a shard are written. */
+/** The only component that writes the records of a shard. */
 export class ShardWriter {
   private sequence = 0
-  private waiting: Waiting[] = []
-  private busy = false
-  private closed = false
-  /** When the append under way was first sent, monotonic ms. */
-  private sentAt: number | undefined
+  private pendingCommits: PendingCommit[] = []
+  private isAppending = false
+  private isClosed = false
+  /** When the append in flight was first sent, in ms of the monotonic clock; `undefined` if none is in flight. */
+  private firstSentAtMs: number | undefined
 
   constructor (
     private readonly partition: shardLog.Partition,
@@ -44,91 +47,91 @@
     private readonly ports: ShardWriterPorts
   ) {}
 
-  /** Fences every former writer; nothing may be read or written before it is done. */
+  /** Fences every former writer. Nothing may be read or written before it resolves. */
   async open (): Promise<CommitOutcome> {
     return this.commit([])
   }
 
-  /** Resolves when the records are durable. No records: resolves when the store has confirmed this writer. */
+  /** Resolves when the records are durable. With no records, resolves when the store has confirmed this writer's epoch. */
   commit (records: readonly shardLog.KeyedRecord[]): Promise<CommitOutcome> {
-    if (this.closed) return Promise.resolve({ type: 'lost' })
+    if (this.isClosed) return Promise.resolve({ type: 'lost' })
     return new Promise((resolve) => {
-      this.waiting.push({ records, resolve })
-      if (!this.busy) void this.run()
+      this.pendingCommits.push({ records, resolve })
+      if (!this.isAppending) void this.appendPending()
     })
   }
 
-  /** How long the append under way has been without an answer, in ms; 0 where there is none. */
+  /** How long the append in flight has been unanswered, in ms; 0 if none is in flight. */
   get unansweredMs (): number {
-    return this.sentAt === undefined ? 0 : this.ports.timers.monotonic() - this.sentAt
+    return this.firstSentAtMs === undefined ? 0 : this.ports.timers.monotonic() - this.firstSentAtMs
   }
 
-  /** Gives the shard up; what waits is told that it is lost. */
+  /** Stops writing; pending commits resolve as `lost`. */
   close (): void {
-    this.closed = true
-    this.settle(this.waiting.splice(0), { type: 'lost' })
+    this.isClosed = true
+    this.resolveCommits(this.pendingCommits.splice(0), { type: 'lost' })
   }
 
-  private async run (): Promise<void> {
-    this.busy = true
-    while (this.waiting.length > 0 && !this.closed) {
+  private async appendPending (): Promise<void> {
+    this.isAppending = true
+    while (this.pendingCommits.length > 0 && !this.isClosed) {
       const batch = this.takeBatch()
-      this.sentAt = this.ports.timers.monotonic()
-      const commit = await this.appendBatch(batch)
-      this.sentAt = undefined
-      this.settle(batch, commit)
+      this.firstSentAtMs = this.ports.timers.monotonic()
+      const outcome = await this.appendBatch(batch)
+      this.firstSentAtMs = undefined
+      this.resolveCommits(batch, outcome)
     }
-    this.busy = false
+    this.isAppending = false
   }
 
-  private takeBatch (): Waiting[] {
+  private takeBatch (): PendingCommit[] {
     let bytes = 0
     let count = 0
-    for (const { records } of this.waiting) {
+    for (const { records } of this.pendingCommits) {
       bytes += records.reduce((sum, record) => sum + record.key.length + (record.value?.length ?? 0), 0)
       if (count > 0 && bytes > maxBatchBytes) break
       count += 1
     }
-    return this.waiting.splice(0, count)
+    return this.pendingCommits.splice(0, count)
   }
 
-  /** Repeats the same append until the store has answered it: its sequence number keeps it from being stored twice. */
-  private async appendBatch (batch: readonly Waiting[]): Promise<CommitOutcome> {
+  /** Repeats the same append until the store answers it; the sequence number prevents it from being stored twice. */
+  private async appendBatch (batch: readonly PendingCommit[]): Promise<CommitOutcome> {
     const request: shardLog.FencedAppend = {
       partition: this.partition,
       epoch: this.epoch,
       sequence: this.sequence,
       records: batch.flatMap(({ records }) => records)
     }
-    for (let attempt = 0; !this.closed; attempt += 1) {
+    for (let attempt = 0; !this.isClosed; attempt += 1) {
       const outcome = await this.ports.log.append(request)
       switch (outcome.type) {
         case 'appended':
-          // An empty append only confirms the epoch: the store does not count it.
+          // An empty append only confirms the epoch and does not use up a sequence number.
           if (request.records.length > 0) this.sequence += 1
           return { type: 'committed' }
-        case 'fenced': return this.lose('a newer owner has fenced this one')
-        case 'outOfSequence': return this.lose(`the store holds another sequence: ${outcome.detail}`)
+        case 'fenced': return this.closeAsLost('fenced by a newer owner')
+        case 'outOfSequence': return this.closeAsLost(`the store expected another sequence number: ${outcome.detail}`)
         case 'refused':
         case 'noAnswer':
           this.ports.decisions.note({ event: 'appendUnanswered', partition: this.partition, epoch: this.epoch, attempt, failure: outcome })
-          await timerService.sleep(this.ports.timers, retryMs(attempt))
+          await timerService.sleep(this.ports.timers, getRetryDelayMs(attempt))
       }
     }
     return { type: 'lost' }
   }
 
-  private lose (reason: string): CommitOutcome {
+  private closeAsLost (reason: string): CommitOutcome {
     this.close()
     this.ports.onLost(reason)
     return { type: 'lost' }
   }
 
-  private settle (batch: readonly Waiting[], commit: CommitOutcome): void {
-    for (const { resolve } of batch) resolve(commit)
+  private resolveCommits (batch: readonly PendingCommit[], outcome: CommitOutcome): void {
+    for (const { resolve } of batch) resolve(outcome)
   }
 }
 
-function retryMs (attempt: number): number {
-  return Math.min(maxRetryMs, firstRetryMs * 2 ** attempt)
+function getRetryDelayMs (attempt: number): number {
+  return Math.min(maxRetryDelayMs, minRetryDelayMs * 2 ** attempt)
 }
--- a/packages/state/turn-ledger/src/turn-ledger.test.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.test.ts
@@ -101,7 +101,7 @@
   const stored = new Map<string, Uint8Array>()
   const store = (writes: readonly turnLedger.LedgerWrite[]): void => {
     for (const { key, value } of writes) stored.set(key, value!)
-    former.noteStored(writes)
+    former.acknowledgeWrites(writes)
   }
   const first = turnRequest('a', undefined, 800)
   const begun = former.admitTurn(first, now)
@@ -127,8 +127,8 @@
   const later = now + 50_000 as types.EpochMs
   ledger.admitTurn(turnRequest('b', 'a'), later)
   ledger.settleTurn(turnRequest('b', 'a'), whole('b'), later)
-  t.same(ledger.expire(now + 90_000 as types.EpochMs), [])
-  const dropped = ledger.expire(now + 130_000 as types.EpochMs).map(({ key }) => key)
+  t.same(ledger.removeExpired(now + 90_000 as types.EpochMs), [])
+  const dropped = ledger.removeExpired(now + 130_000 as types.EpochMs).map(({ key }) => key)
   t.same(dropped.sort(), ['proster-7', 'ta', 'tb'])
   t.end()
 })
@@ -177,7 +177,7 @@
       const writes = life.waiting.shift()
       if (writes === undefined) return
       for (const { key, value } of writes) stored.set(key, value!)
-      life.ledger.noteStored(writes)
+      life.ledger.acknowledgeWrites(writes)
     }
     const storeAll = (): void => { while (life.waiting.length > 0) storeNext() }
     const begin = (): void => {
@@ -195,7 +195,7 @@
         case 'storeAll': return storeAll()
         case 'crash': return begin()
         case 'handOver':
-          life.waiting.push(life.ledger.finish())
+          life.waiting.push(life.ledger.prepareHandover())
           storeAll()
           return begin()
       }
@@ -243,7 +243,7 @@
       const end = former.settleTurn(request(`t${spent}`), whole('x', 40), now)
       if (end.type !== 'settled') throw new Error(end.type)
       writes.push(...admission.writes, ...end.writes)
-      former.noteStored([...admission.writes, ...end.writes])
+      former.acknowledgeWrites([...admission.writes, ...end.writes])
       const next = new turnLedger.TurnLedger()
       for (const { key, value } of writes) next.loadRecord(key, value!)
       next.extendLoadedChains()
--- a/packages/state/turn-ledger/src/turn-ledger.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.ts
@@ -119,14 +119,14 @@
   }
 
   /** Ends the ownership in good order: records of all that has none yet, and the allowance is out of force. */
-  finish (): readonly LedgerWrite[] {
+  prepareHandover (): readonly LedgerWrite[] {
     const unwritten = [...this.programs].filter(([, program]) => program.unwritten)
     this.allowance = { ...this.allowance, inForce: false }
     return [...unwritten.map(([id, program]) => this.recordWrite(id, program, used(program))), this.allowanceWrite()]
   }
 
   /** Writes are stored, in the order in which they were made. */
-  noteStored (writes: readonly LedgerWrite[]): void {
+  acknowledgeWrites (writes: readonly LedgerWrite[]): void {
     for (const { counts } of writes) {
       if (counts !== undefined) this.programs.get(counts)?.coverage.acknowledge()
     }
@@ -201,7 +201,7 @@
   }
 
   /** Drops what is past its retention; the writes remove it from the store. */
-  expire (now: types.EpochMs): readonly LedgerWrite[] {
+  removeExpired (now: types.EpochMs): readonly LedgerWrite[] {
     const writes: LedgerWrite[] = []
     for (const [turn, state] of this.turns) {
       if (state.keepUntil >= now) continue
