--- a/packages/state/turn-ledger/src/coverage.ts
+++ b/packages/state/turn-ledger/src/coverage.ts
@@ -1,84 +1,89 @@
-/** How much of a program's budget the stored records count as handed out already, whatever becomes of this process. */
+/**
+ * Reservation of a program's budget in advance: stored records count more tokens than are used yet, so that turns can run
+ * without a store call each. The next owner counts all of them as handed out, even if this process crashes.
+ */
 
 /**
- * The share of its most that a turn makes, as the mean of deployments seen: 0.27. Records count that share of a program's
- * turns ahead, so that an outage of the store leaves the usual program its usual turns.
+ * Share of its token limit that a turn typically generates; the observed mean is 0.27. Records reserve this share of
+ * a program's further turns in advance, so that a typical program can go on during a store outage.
  */
-const usualShare = 0.3
+const typicalShare = 0.3
 
-/** An outage of the store finds one kept turn of a program under way, and its client sends that turn once more meanwhile. */
-const keptAheadTurns = 2
+/** Kept turns reserved in advance: when a store outage begins, one is in flight, and its client repeats it once meanwhile. */
+const keptTurnsAhead = 2
 
-/** What a record is written for. */
-export interface AheadInput {
+/** Input of `computeAdvanceTokens`. */
+export interface AdvanceInput {
   readonly budgetTokens: number
-  /** Tokens that are spent or may still be spent in open turns. */
+  /** Tokens that are spent or reserved by open turns. */
   readonly usedTokens: number
+  /** Token limit of one turn. */
   readonly maxTokens: number
-  /** Whether the program's turns are kept. */
+  /** Whether the content of the program's turns is kept for later turns. */
   readonly keeps: boolean
 }
 
 /**
- * Tokens that a record counts ahead of those that are used. They are lost to the program if its owner crashes, so room
- * for one more turn at its most is left wherever there is any. Kept turns each write a record, so that no more than
- * `keptAheadTurns` of them need be covered.
+ * Tokens that a record reserves beyond those already used. A crash of the owner costs the program these tokens, so the
+ * budget of one more turn at its limit is left free if there is any. Each kept turn writes a record, so no more than
+ * `keptTurnsAhead` of them need to be reserved.
  */
-export function aheadTokens ({ budgetTokens, usedTokens, maxTokens, keeps }: AheadInput): number {
-  const usual = usualRest(budgetTokens, maxTokens)
-  const wanted = keeps ? Math.min(usual, maxTokens * keptAheadTurns) : usual
-  return Math.max(0, Math.min(wanted, budgetTokens - usedTokens - maxTokens))
+export function computeAdvanceTokens ({ budgetTokens, usedTokens, maxTokens, keeps }: AdvanceInput): number {
+  const typicalTokens = estimateFurtherTokens(budgetTokens, maxTokens)
+  const wantedTokens = keeps ? Math.min(typicalTokens, maxTokens * keptTurnsAhead) : typicalTokens
+  return Math.max(0, Math.min(wantedTokens, budgetTokens - usedTokens - maxTokens))
 }
 
-/** What the turns after the first one usually make of a budget. */
-function usualRest (budgetTokens: number, maxTokens: number): number {
-  return Math.floor(Math.max(0, budgetTokens - maxTokens) * usualShare)
+/** Tokens that the turns after the first typically use of a budget. */
+function estimateFurtherTokens (budgetTokens: number, maxTokens: number): number {
+  return Math.floor(Math.max(0, budgetTokens - maxTokens) * typicalShare)
 }
 
 /**
- * Tokens that an owner may hand out to a program without any record: a turn at its most, and the usual rest. A program
- * of three turns needs 1.5 times the most of one, and so gets through an outage without a call to the store.
+ * Tokens that an owner may hand out to a program without any record: one turn at its limit and the typical use of the
+ * further turns. A program of three turns needs 1.5 times the limit of one turn, so it completes without a store call,
+ * also in an outage.
  */
-export function allowanceTokens (budgetTokens: number, maxTokens: number): number {
-  return maxTokens + usualRest(budgetTokens, maxTokens)
+export function computeAllowanceTokens (budgetTokens: number, maxTokens: number): number {
+  return maxTokens + estimateFurtherTokens(budgetTokens, maxTokens)
 }
 
-/** Tokens beyond what is used that let the usual next turn be covered as well. */
-export function usualTokens (maxTokens: number): number {
-  return maxTokens * usualShare
+/** Tokens that a turn typically generates. */
+export function estimateTurnTokens (maxTokens: number): number {
+  return maxTokens * typicalShare
 }
 
-/** What the store holds, and what is on its way there: a write that was not acknowledged may be stored or not. */
+/** Tracks the tokens that the stored record of a program covers, and the writes in flight, which may be stored or not. */
 export class Coverage {
-  private readonly onTheWay: number[] = []
-  private written: boolean
+  private readonly inFlightTokens: number[] = []
+  private hasWritten: boolean
 
-  /** Stored: tokens that the store counts at the start, by a record or by the allowance of programs without one. */
-  constructor (private stored: number, isWritten: boolean) { this.written = isWritten }
+  /** `storedTokens`: initially covered by a stored record, or by the allowance of programs without a record. */
+  constructor (private storedTokens: number, hasRecord: boolean) { this.hasWritten = hasRecord }
 
-  /** Tokens that may be handed out in all. */
-  get tokens (): number {
-    return Math.min(this.stored, ...this.onTheWay)
+  /** Tokens that may be handed out in total, whichever of the writes in flight are stored. */
+  get guaranteedTokens (): number {
+    return Math.min(this.storedTokens, ...this.inFlightTokens)
   }
 
-  /** Tokens that may be handed out once everything on its way is stored. */
-  get expected (): number {
-    return this.onTheWay.at(-1) ?? this.stored
+  /** Tokens that may be handed out in total once every write in flight is stored. */
+  get expectedTokens (): number {
+    return this.inFlightTokens.at(-1) ?? this.storedTokens
   }
 
   /** Whether the store may hold a record. */
-  get isWritten (): boolean {
-    return this.written
+  get hasWrittenRecord (): boolean {
+    return this.hasWritten
   }
 
-  /** A record that counts so many tokens is being written. */
-  write (tokens: number): void {
-    this.written = true
-    this.onTheWay.push(tokens)
+  /** Notes that a record covering this many tokens is being written. */
+  startWrite (tokens: number): void {
+    this.hasWritten = true
+    this.inFlightTokens.push(tokens)
   }
 
-  /** The oldest write on its way is stored. */
-  acknowledge (): void {
-    this.stored = this.onTheWay.shift() ?? this.stored
+  /** Notes that the oldest write in flight is stored. */
+  acknowledgeWrite (): void {
+    this.storedTokens = this.inFlightTokens.shift() ?? this.storedTokens
   }
 }
--- a/packages/state/turn-ledger/src/turn-ledger.test.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.test.ts
@@ -7,274 +7,274 @@
 const now = 1_000_000 as types.EpochMs
 const program = 'roster-7' as types.ProgramId
 
-function turnRequest (id: string, previous?: string, budgetTokens?: number): turnLedger.TurnRequest {
+function createRequest (id: string, previous?: string, budgetTokens?: number): turnLedger.TurnRequest {
   return { turn: id as records.TurnId, program, account: undefined, previous: previous as records.TurnId | undefined, maxTokens: 40, budgetTokens, keeps: true, retainMs: 60_000 }
 }
 
-function whole (text: string, tokens = 20): Extract<turnLedger.TurnEnd, { type: 'whole' }> {
+function createWholeEnd (text: string, tokens = 20): Extract<turnLedger.TurnEnd, { type: 'whole' }> {
   return { type: 'whole', input: Buffer.from(`in ${text};`), output: Buffer.from(`out ${text};`), tokens }
 }
 
-function play (ledger: turnLedger.TurnLedger, id: string, previous?: string): readonly turnLedger.LedgerWrite[] {
-  ledger.admitTurn(turnRequest(id, previous), now)
-  const outcome = ledger.settleTurn(turnRequest(id, previous), whole(id), now)
+function runTurn (ledger: turnLedger.TurnLedger, id: string, previous?: string): readonly turnLedger.LedgerWrite[] {
+  ledger.admitTurn(createRequest(id, previous), now)
+  const outcome = ledger.settleTurn(createRequest(id, previous), createWholeEnd(id), now)
   if (outcome.type !== 'settled') throw new Error(outcome.type)
   return outcome.writes
 }
 
-function promptOf (ledger: turnLedger.TurnLedger, previous: string): string | undefined {
-  const admission = ledger.admitTurn(turnRequest('probe', previous), now)
+function readPrompt (ledger: turnLedger.TurnLedger, previous: string): string | undefined {
+  const admission = ledger.admitTurn(createRequest('probe', previous), now)
   return admission.type === 'admitted' ? Buffer.concat(admission.chain).toString() : undefined
 }
 
 tap.test('a prompt repeats the chain, oldest turn first', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  play(ledger, 'a')
-  play(ledger, 'b', 'a')
-  play(ledger, 'c', 'a')
-  t.equal(promptOf(ledger, 'b'), 'in a;out a;in b;out b;')
-  t.equal(promptOf(ledger, 'c'), 'in a;out a;in c;out c;')
+  runTurn(ledger, 'a')
+  runTurn(ledger, 'b', 'a')
+  runTurn(ledger, 'c', 'a')
+  t.equal(readPrompt(ledger, 'b'), 'in a;out a;in b;out b;')
+  t.equal(readPrompt(ledger, 'c'), 'in a;out a;in c;out c;')
   t.end()
 })
 
 tap.test('a program of another shard continues from a copy of the chain', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  play(ledger, 'a')
-  play(ledger, 'b', 'a')
-  const other = new turnLedger.TurnLedger()
-  const request = { ...turnRequest('x', 'b'), program: 'other' as types.ProgramId }
-  t.equal(other.admitTurn(request, now).type, 'unknownPrevious')
-  const writes = other.importChain(ledger.exportChain('b' as records.TurnId, undefined)!)
+  runTurn(ledger, 'a')
+  runTurn(ledger, 'b', 'a')
+  const otherLedger = new turnLedger.TurnLedger()
+  const request = { ...createRequest('x', 'b'), program: 'other' as types.ProgramId }
+  t.equal(otherLedger.admitTurn(request, now).type, 'unknownPrevious')
+  const writes = otherLedger.importChain(ledger.exportChain('b' as records.TurnId, undefined)!)
   t.same(writes.map(({ key }) => key).sort(), ['ta', 'tb'])
-  t.equal(other.admitTurn(request, now).type, 'admitted')
-  t.equal(promptOf(other, 'b'), promptOf(ledger, 'b'))
+  t.equal(otherLedger.admitTurn(request, now).type, 'admitted')
+  t.equal(readPrompt(otherLedger, 'b'), readPrompt(ledger, 'b'))
   t.equal(ledger.exportChain('c' as records.TurnId, undefined), undefined)
   t.end()
 })
 
-tap.test('a chain is continued by its own account only, also from a copy and from records', (t) => {
+tap.test('only its own account can continue a chain, also after a copy or a reload from records', (t) => {
   const ledger = new turnLedger.TurnLedger()
   const account = 'coaches' as types.AccountId
-  const own = { ...turnRequest('a'), account }
-  ledger.admitTurn(own, now)
-  const outcome = ledger.settleTurn(own, whole('a'), now)
+  const ownRequest = { ...createRequest('a'), account }
+  ledger.admitTurn(ownRequest, now)
+  const outcome = ledger.settleTurn(ownRequest, createWholeEnd('a'), now)
   if (outcome.type !== 'settled') throw new Error(outcome.type)
-  const reloaded = new turnLedger.TurnLedger()
-  for (const { key, value } of outcome.writes) reloaded.loadRecord(key, value!)
-  for (const one of [ledger, reloaded]) {
-    for (const other of [undefined, 'leagues' as types.AccountId]) {
-      t.equal(one.admitTurn({ ...turnRequest('b', 'a'), account: other }, now).type, 'unknownPrevious')
-      t.equal(one.exportChain('a' as records.TurnId, other), undefined)
+  const reloadedLedger = new turnLedger.TurnLedger()
+  for (const { key, value } of outcome.writes) reloadedLedger.loadRecord(key, value!)
+  for (const currentLedger of [ledger, reloadedLedger]) {
+    for (const otherAccount of [undefined, 'leagues' as types.AccountId]) {
+      t.equal(currentLedger.admitTurn({ ...createRequest('b', 'a'), account: otherAccount }, now).type, 'unknownPrevious')
+      t.equal(currentLedger.exportChain('a' as records.TurnId, otherAccount), undefined)
     }
-    t.equal(one.exportChain('a' as records.TurnId, account)?.length, 1)
-    t.equal(one.admitTurn({ ...turnRequest('b', 'a'), account }, now).type, 'admitted')
+    t.equal(currentLedger.exportChain('a' as records.TurnId, account)?.length, 1)
+    t.equal(currentLedger.admitTurn({ ...createRequest('b', 'a'), account }, now).type, 'admitted')
   }
   t.end()
 })
 
-tap.test('a turn that is under way or broke off can not be continued', (t) => {
+tap.test('a turn that is in flight or was interrupted cannot be continued', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  ledger.admitTurn(turnRequest('a'), now)
-  t.equal(promptOf(ledger, 'a'), undefined)
-  ledger.settleTurn(turnRequest('a'), { type: 'broken' }, now)
-  t.equal(promptOf(ledger, 'a'), undefined)
+  ledger.admitTurn(createRequest('a'), now)
+  t.equal(readPrompt(ledger, 'a'), undefined)
+  ledger.settleTurn(createRequest('a'), { type: 'broken' }, now)
+  t.equal(readPrompt(ledger, 'a'), undefined)
   t.end()
 })
 
 tap.test('the next owner keeps chains, budgets and open turns', (t) => {
-  const former = new turnLedger.TurnLedger()
-  const writes = [...play(former, 'a'), ...play(former, 'b', 'a')]
-  const open = former.admitTurn(turnRequest('c', 'b'), now)
-  if (open.type !== 'admitted') throw new Error(open.type)
-  const next = new turnLedger.TurnLedger()
-  for (const { key, value } of [...writes, ...open.writes]) next.loadRecord(key, value!)
-  next.extendLoadedChains()
-  t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
-  t.equal(next.settleTurn(turnRequest('c', 'b'), whole('c'), now).type, 'settled')
-  t.equal(next.settleTurn(turnRequest('c', 'b'), whole('c'), now).type, 'alreadyKept')
-  t.equal(next.settleTurn(turnRequest('never', 'b'), whole('never'), now).type, 'unknown')
+  const formerLedger = new turnLedger.TurnLedger()
+  const writes = [...runTurn(formerLedger, 'a'), ...runTurn(formerLedger, 'b', 'a')]
+  const admission = formerLedger.admitTurn(createRequest('c', 'b'), now)
+  if (admission.type !== 'admitted') throw new Error(admission.type)
+  const nextLedger = new turnLedger.TurnLedger()
+  for (const { key, value } of [...writes, ...admission.writes]) nextLedger.loadRecord(key, value!)
+  nextLedger.extendLoadedChains()
+  t.equal(readPrompt(nextLedger, 'b'), 'in a;out a;in b;out b;')
+  t.equal(nextLedger.settleTurn(createRequest('c', 'b'), createWholeEnd('c'), now).type, 'settled')
+  t.equal(nextLedger.settleTurn(createRequest('c', 'b'), createWholeEnd('c'), now).type, 'alreadyKept')
+  t.equal(nextLedger.settleTurn(createRequest('never', 'b'), createWholeEnd('never'), now).type, 'unknown')
   t.end()
 })
 
-tap.test('a turn that stored records count already needs no record of its own, and is kept by the next owner', (t) => {
-  const former = new turnLedger.TurnLedger()
+tap.test('a turn covered by stored records needs no record before its end and can be adopted by the next owner', (t) => {
+  const formerLedger = new turnLedger.TurnLedger()
   const stored = new Map<string, Uint8Array>()
-  const store = (writes: readonly turnLedger.LedgerWrite[]): void => {
+  const storeWrites = (writes: readonly turnLedger.LedgerWrite[]): void => {
     for (const { key, value } of writes) stored.set(key, value!)
-    former.acknowledgeWrites(writes)
+    formerLedger.acknowledgeWrites(writes)
   }
-  const first = turnRequest('a', undefined, 800)
-  const begun = former.admitTurn(first, now)
-  if (begun.type !== 'admitted') throw new Error(begun.type)
-  t.notOk(begun.isCovered)
-  store(begun.writes)
-  const ended = former.settleTurn(first, whole('a'), now)
-  if (ended.type !== 'settled') throw new Error(ended.type)
-  store(ended.writes)
-  const second = turnRequest('b', 'a', 800)
-  t.match(former.admitTurn(second, now), { type: 'admitted', isCovered: true, writes: [] })
-  const next = new turnLedger.TurnLedger()
-  for (const [key, value] of stored) next.loadRecord(key, value)
-  t.equal(next.settleTurn(second, whole('b'), now).type, 'unknown')
-  t.equal(next.adoptTurn(second, whole('b'), now).type, 'settled')
-  t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
+  const firstRequest = createRequest('a', undefined, 800)
+  const admission = formerLedger.admitTurn(firstRequest, now)
+  if (admission.type !== 'admitted') throw new Error(admission.type)
+  t.notOk(admission.isCovered)
+  storeWrites(admission.writes)
+  const settlement = formerLedger.settleTurn(firstRequest, createWholeEnd('a'), now)
+  if (settlement.type !== 'settled') throw new Error(settlement.type)
+  storeWrites(settlement.writes)
+  const secondRequest = createRequest('b', 'a', 800)
+  t.match(formerLedger.admitTurn(secondRequest, now), { type: 'admitted', isCovered: true, writes: [] })
+  const nextLedger = new turnLedger.TurnLedger()
+  for (const [key, value] of stored) nextLedger.loadRecord(key, value)
+  t.equal(nextLedger.settleTurn(secondRequest, createWholeEnd('b'), now).type, 'unknown')
+  t.equal(nextLedger.adoptTurn(secondRequest, createWholeEnd('b'), now).type, 'settled')
+  t.equal(readPrompt(nextLedger, 'b'), 'in a;out a;in b;out b;')
   t.end()
 })
 
 tap.test('a chain is kept as long as its newest turn', (t) => {
   const ledger = new turnLedger.TurnLedger()
-  play(ledger, 'a')
-  const later = now + 50_000 as types.EpochMs
-  ledger.admitTurn(turnRequest('b', 'a'), later)
-  ledger.settleTurn(turnRequest('b', 'a'), whole('b'), later)
+  runTurn(ledger, 'a')
+  const laterTime = now + 50_000 as types.EpochMs
+  ledger.admitTurn(createRequest('b', 'a'), laterTime)
+  ledger.settleTurn(createRequest('b', 'a'), createWholeEnd('b'), laterTime)
   t.same(ledger.removeExpired(now + 90_000 as types.EpochMs), [])
-  const dropped = ledger.removeExpired(now + 130_000 as types.EpochMs).map(({ key }) => key)
-  t.same(dropped.sort(), ['proster-7', 'ta', 'tb'])
+  const droppedKeys = ledger.removeExpired(now + 130_000 as types.EpochMs).map(({ key }) => key)
+  t.same(droppedKeys.sort(), ['proster-7', 'ta', 'tb'])
   t.end()
 })
 
-tap.test('tokens handed out never pass the budget, whatever breaks off or moves', (t) => {
-  const step = fc.record({ how: fc.constantFrom('whole', 'broken', 'notRun', 'leave', 'move'), tokens: fc.integer({ min: 0, max: 40 }) })
+tap.test('tokens handed out never exceed the budget, with interrupted turns and changes of owner', (t) => {
+  const step = fc.record({ action: fc.constantFrom('whole', 'broken', 'notRun', 'leave', 'move'), tokens: fc.integer({ min: 0, max: 40 }) })
   fc.assert(fc.property(fc.array(step, { maxLength: 60 }), fc.integer({ min: 0, max: 400 }), (steps, budget) => {
     let ledger = new turnLedger.TurnLedger()
     const stored = new Map<string, Uint8Array>()
-    let handedOut = 0
-    steps.forEach(({ how, tokens }, index) => {
-      const request = turnRequest(`t${index}`, undefined, budget)
+    let handedOutTokens = 0
+    steps.forEach(({ action, tokens }, index) => {
+      const request = createRequest(`t${index}`, undefined, budget)
       const admission = ledger.admitTurn(request, now)
       if (admission.type !== 'admitted') return
       for (const { key, value } of admission.writes) stored.set(key, value!)
-      if (how === 'whole' || how === 'broken' || how === 'leave') handedOut += tokens
-      if (how === 'leave') return
-      if (how === 'move') {
+      if (action === 'whole' || action === 'broken' || action === 'leave') handedOutTokens += tokens
+      if (action === 'leave') return
+      if (action === 'move') {
         ledger = new turnLedger.TurnLedger()
         for (const [key, value] of stored) ledger.loadRecord(key, value)
         return
       }
-      const end: turnLedger.TurnEnd = how === 'whole' ? whole('x', tokens) : { type: how }
+      const end: turnLedger.TurnEnd = action === 'whole' ? createWholeEnd('x', tokens) : { type: action }
       const outcome = ledger.settleTurn(request, end, now)
-      if (how === 'whole' && outcome.type === 'settled') for (const { key, value } of outcome.writes) stored.set(key, value!)
+      if (action === 'whole' && outcome.type === 'settled') for (const { key, value } of outcome.writes) stored.set(key, value!)
     })
-    return handedOut <= budget
+    return handedOutTokens <= budget
   }), { seed: 7, numRuns: 500 })
   t.end()
 })
 
-interface Life {
+interface Session {
   ledger: turnLedger.TurnLedger
-  readonly waiting: (readonly turnLedger.LedgerWrite[])[]
+  readonly pendingWrites: (readonly turnLedger.LedgerWrite[])[]
 }
 
-tap.test('over owners that crash or hand over, with a store that lags, a program gets its budget and one turn at the most', (t) => {
-  const most = 40
-  const step = fc.record({ how: fc.constantFrom('whole', 'whole', 'whole', 'broken', 'notRun', 'leave', 'store', 'storeAll', 'crash', 'handOver'), tokens: fc.constantFrom(0, 11, most) })
-  fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.integer({ min: most, max: 320 }), fc.boolean(), (steps, budgetTokens, keeps) => {
+tap.test('across crashes, handovers and a lagging store, a program gets at most its budget and one turn', (t) => {
+  const maxTokens = 40
+  const step = fc.record({ action: fc.constantFrom('whole', 'whole', 'whole', 'broken', 'notRun', 'leave', 'store', 'storeAll', 'crash', 'handOver'), tokens: fc.constantFrom(0, 11, maxTokens) })
+  fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.integer({ min: maxTokens, max: 320 }), fc.boolean(), (steps, budgetTokens, keeps) => {
     const stored = new Map<string, Uint8Array>()
-    let handedOut = 0
-    let at = now as number
-    let life: Life
-    const storeNext = (): void => {
-      const writes = life.waiting.shift()
+    let handedOutTokens = 0
+    let time = now as number
+    let session: Session
+    const storeNextWrites = (): void => {
+      const writes = session.pendingWrites.shift()
       if (writes === undefined) return
       for (const { key, value } of writes) stored.set(key, value!)
-      life.ledger.acknowledgeWrites(writes)
+      session.ledger.acknowledgeWrites(writes)
     }
-    const storeAll = (): void => { while (life.waiting.length > 0) storeNext() }
-    const begin = (): void => {
-      life = { ledger: new turnLedger.TurnLedger(), waiting: [] }
-      for (const [key, value] of stored) life.ledger.loadRecord(key, value)
-      life.ledger.extendLoadedChains()
-      life.waiting.push(life.ledger.activateAllowance(at as types.EpochMs))
+    const storeAll = (): void => { while (session.pendingWrites.length > 0) storeNextWrites() }
+    const startOwner = (): void => {
+      session = { ledger: new turnLedger.TurnLedger(), pendingWrites: [] }
+      for (const [key, value] of stored) session.ledger.loadRecord(key, value)
+      session.ledger.extendLoadedChains()
+      session.pendingWrites.push(session.ledger.activateAllowance(time as types.EpochMs))
       storeAll()
     }
-    begin()
-    steps.forEach(({ how, tokens }, index) => {
-      at += 100
-      switch (how) {
-        case 'store': return storeNext()
+    startOwner()
+    steps.forEach(({ action, tokens }, index) => {
+      time += 100
+      switch (action) {
+        case 'store': return storeNextWrites()
         case 'storeAll': return storeAll()
-        case 'crash': return begin()
+        case 'crash': return startOwner()
         case 'handOver':
-          life.waiting.push(life.ledger.prepareHandover())
+          session.pendingWrites.push(session.ledger.prepareHandover())
           storeAll()
-          return begin()
+          return startOwner()
       }
-      const request = { ...turnRequest(`t${index}`, undefined, budgetTokens), keeps }
-      const admission = life.ledger.admitTurn(request, at as types.EpochMs)
+      const request = { ...createRequest(`t${index}`, undefined, budgetTokens), keeps }
+      const admission = session.ledger.admitTurn(request, time as types.EpochMs)
       if (admission.type !== 'admitted') return
-      life.waiting.push(admission.writes)
+      session.pendingWrites.push(admission.writes)
       if (!admission.isCovered) storeAll()
-      if (how !== 'notRun') handedOut += tokens
-      if (how === 'leave') return
-      const end: turnLedger.TurnEnd = how === 'whole' ? whole('x', tokens) : { type: how }
-      const outcome = life.ledger.settleTurn(request, end, at as types.EpochMs)
-      if (outcome.type === 'settled') life.waiting.push(outcome.writes)
+      if (action !== 'notRun') handedOutTokens += tokens
+      if (action === 'leave') return
+      const end: turnLedger.TurnEnd = action === 'whole' ? createWholeEnd('x', tokens) : { type: action }
+      const outcome = session.ledger.settleTurn(request, end, time as types.EpochMs)
+      if (outcome.type === 'settled') session.pendingWrites.push(outcome.writes)
     })
-    // What is left is used up: whatever was not counted shows.
-    for (let turn = 0; life!.ledger.admitTurn({ ...turnRequest(`rest${turn}`, undefined, budgetTokens), keeps }, at as types.EpochMs).type === 'admitted'; turn += 1) handedOut += most
-    return handedOut <= budgetTokens + most
+    // Uses up the rest of the budget, so that tokens that were handed out but not counted show.
+    for (let turn = 0; session!.ledger.admitTurn({ ...createRequest(`rest${turn}`, undefined, budgetTokens), keeps }, time as types.EpochMs).type === 'admitted'; turn += 1) handedOutTokens += maxTokens
+    return handedOutTokens <= budgetTokens + maxTokens
   }), { seed: 11, numRuns: 10_000 })
   t.end()
 })
 
-tap.test('a program of three turns needs no record, and its owner crash costs it none of them', (t) => {
+tap.test('a program of three turns needs no record and can run all of them despite a crash of its owner', (t) => {
   const ledger = new turnLedger.TurnLedger()
   ledger.activateAllowance(now)
-  const enquiry = (id: string): turnLedger.TurnRequest => ({ ...turnRequest(id, undefined, 120), keeps: false })
+  const createUnkeptRequest = (id: string): turnLedger.TurnRequest => ({ ...createRequest(id, undefined, 120), keeps: false })
   for (const id of ['a', 'b']) {
-    t.match(ledger.admitTurn(enquiry(id), now), { type: 'admitted', isCovered: true, writes: [] })
-    t.match(ledger.settleTurn(enquiry(id), whole(id, 11), now), { type: 'settled', writes: [] })
+    t.match(ledger.admitTurn(createUnkeptRequest(id), now), { type: 'admitted', isCovered: true, writes: [] })
+    t.match(ledger.settleTurn(createUnkeptRequest(id), createWholeEnd(id, 11), now), { type: 'settled', writes: [] })
   }
-  const next = new turnLedger.TurnLedger()
-  next.loadRecord('a', ledger.activateAllowance(now)[0]!.value!)
-  next.activateAllowance(now)
-  t.match(next.admitTurn(enquiry('c'), now), { type: 'admitted' })
+  const nextLedger = new turnLedger.TurnLedger()
+  nextLedger.loadRecord('a', ledger.activateAllowance(now)[0]!.value!)
+  nextLedger.activateAllowance(now)
+  t.match(nextLedger.admitTurn(createUnkeptRequest('c'), now), { type: 'admitted' })
   t.end()
 })
 
-tap.test('a program that has room for another turn has it after its owner crashed', (t) => {
+tap.test('a program with budget left for another turn still has it after a crash of its owner', (t) => {
   for (const [budgetTokens, keeps] of [[800, true], [400, true], [120, true], [800, false], [400, false]] as const) {
-    const former = new turnLedger.TurnLedger()
-    const writes: turnLedger.LedgerWrite[] = [...former.activateAllowance(now)]
-    const request = (id: string): turnLedger.TurnRequest => ({ ...turnRequest(id, undefined, budgetTokens), keeps })
-    for (let spent = 0; spent + 2 * 40 <= budgetTokens; spent += 40) {
-      const admission = former.admitTurn(request(`t${spent}`), now)
+    const formerLedger = new turnLedger.TurnLedger()
+    const writes: turnLedger.LedgerWrite[] = [...formerLedger.activateAllowance(now)]
+    const createProgramRequest = (id: string): turnLedger.TurnRequest => ({ ...createRequest(id, undefined, budgetTokens), keeps })
+    for (let spentTokens = 0; spentTokens + 2 * 40 <= budgetTokens; spentTokens += 40) {
+      const admission = formerLedger.admitTurn(createProgramRequest(`t${spentTokens}`), now)
       if (admission.type !== 'admitted') throw new Error(admission.type)
-      const end = former.settleTurn(request(`t${spent}`), whole('x', 40), now)
-      if (end.type !== 'settled') throw new Error(end.type)
-      writes.push(...admission.writes, ...end.writes)
-      former.acknowledgeWrites([...admission.writes, ...end.writes])
-      const next = new turnLedger.TurnLedger()
-      for (const { key, value } of writes) next.loadRecord(key, value!)
-      next.extendLoadedChains()
-      t.match(next.admitTurn(request('after'), now), { type: 'admitted' }, `${spent + 40} of ${budgetTokens} spent, ${keeps ? 'kept' : 'not kept'}`)
+      const settlement = formerLedger.settleTurn(createProgramRequest(`t${spentTokens}`), createWholeEnd('x', 40), now)
+      if (settlement.type !== 'settled') throw new Error(settlement.type)
+      writes.push(...admission.writes, ...settlement.writes)
+      formerLedger.acknowledgeWrites([...admission.writes, ...settlement.writes])
+      const nextLedger = new turnLedger.TurnLedger()
+      for (const { key, value } of writes) nextLedger.loadRecord(key, value!)
+      nextLedger.extendLoadedChains()
+      t.match(nextLedger.admitTurn(createProgramRequest('after'), now), { type: 'admitted' }, `${spentTokens + 40} of ${budgetTokens} spent, ${keeps ? 'kept' : 'not kept'}`)
     }
   }
   t.end()
 })
 
-tap.test('after every process lost power, programs that continue from kept turns have their whole budget', (t) => {
-  const former = new turnLedger.TurnLedger()
-  const writes = [...former.activateAllowance(now), ...play(former, 'a')]
-  const next = new turnLedger.TurnLedger()
-  for (const { key, value } of writes) next.loadRecord(key, value!)
-  next.activateAllowance(now)
-  const request = { ...turnRequest('b', 'a', 40), program: 'new' as types.ProgramId }
-  t.match(next.admitTurn(request, now), { type: 'admitted', isCovered: false })
+tap.test('after a crash of every process, programs that continue from kept turns have their whole budget', (t) => {
+  const formerLedger = new turnLedger.TurnLedger()
+  const writes = [...formerLedger.activateAllowance(now), ...runTurn(formerLedger, 'a')]
+  const nextLedger = new turnLedger.TurnLedger()
+  for (const { key, value } of writes) nextLedger.loadRecord(key, value!)
+  nextLedger.activateAllowance(now)
+  const request = { ...createRequest('b', 'a', 40), program: 'new' as types.ProgramId }
+  t.match(nextLedger.admitTurn(request, now), { type: 'admitted', isCovered: false })
   t.end()
 })
 
-tap.test('a turn whose reservation the former owner could not store is kept by the next one, and counts', (t) => {
-  const former = new turnLedger.TurnLedger()
-  const writes = play(former, 'a')
-  const next = new turnLedger.TurnLedger()
-  for (const { key, value } of writes) next.loadRecord(key, value!)
-  const request = turnRequest('b', 'a', 100)
-  t.equal(next.settleTurn(request, whole('b'), now).type, 'unknown')
-  t.equal(next.adoptTurn(request, whole('b'), now).type, 'settled')
-  t.equal(next.adoptTurn(request, whole('b'), now).type, 'alreadyKept')
-  t.equal(next.adoptTurn(turnRequest('d', 'c'), whole('d'), now).type, 'unknown')
-  t.equal(promptOf(next, 'b'), 'in a;out a;in b;out b;')
-  t.match(next.admitTurn({ ...turnRequest('e', 'b', 100), maxTokens: 61 }, now), { type: 'overBudget' })
+tap.test('a turn whose reservation the former owner could not store is adopted by the next one and counts against the budget', (t) => {
+  const formerLedger = new turnLedger.TurnLedger()
+  const writes = runTurn(formerLedger, 'a')
+  const nextLedger = new turnLedger.TurnLedger()
+  for (const { key, value } of writes) nextLedger.loadRecord(key, value!)
+  const request = createRequest('b', 'a', 100)
+  t.equal(nextLedger.settleTurn(request, createWholeEnd('b'), now).type, 'unknown')
+  t.equal(nextLedger.adoptTurn(request, createWholeEnd('b'), now).type, 'settled')
+  t.equal(nextLedger.adoptTurn(request, createWholeEnd('b'), now).type, 'alreadyKept')
+  t.equal(nextLedger.adoptTurn(createRequest('d', 'c'), createWholeEnd('d'), now).type, 'unknown')
+  t.equal(readPrompt(nextLedger, 'b'), 'in a;out a;in b;out b;')
+  t.match(nextLedger.admitTurn({ ...createRequest('e', 'b', 100), maxTokens: 61 }, now), { type: 'overBudget' })
   t.end()
 })
--- a/packages/state/turn-ledger/src/turn-ledger.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.ts
@@ -1,97 +1,102 @@
 /**
- * The ledger of one shard: which turns were answered whole, what their chains hold, and what each program may
- * still spend. Pure: times are passed in, and every change returns the keyed records that make it durable.
+ * Ledger of one shard: the completed turns with their chains, and what each program may still spend. Does no I/O: times are
+ * passed in, and every change returns the keyed records that make it durable.
  */
 import type * as types from '@eelgrasswind/types'
 import * as coverage from './coverage.js'
 import * as records from './records.js'
 
-/** A keyed record to append; without a value the key is dropped. */
+/** A keyed record to append; without a value it removes the key. */
 export interface LedgerWrite {
   readonly key: string
   readonly value: Uint8Array | undefined
-  /** The program whose budget the record counts; `noteStored` wants to hear when it is stored. */
+  /** Program whose budget the record covers; `acknowledgeWrites` uses it. */
   readonly counts?: types.ProgramId
 }
 
-/** A turn with its id, as it is copied between shards. */
+/** A kept turn with its id, as copied between shards. */
 export interface StoredTurn {
   readonly turn: records.TurnId
   readonly record: records.TurnRecord
 }
 
-/** A turn that asks to run. */
+/** A request to run a turn. */
 export interface TurnRequest {
   readonly turn: records.TurnId
   readonly program: types.ProgramId
-  /** The client account that asks; `undefined`: none was named. */
+  /** Client account of the request; `undefined` if it named none. */
   readonly account: types.AccountId | undefined
+  /** The turn to continue from; `undefined` at the start of a chain. */
   readonly previous: records.TurnId | undefined
-  /** The most tokens that the turn may make. */
+  /** Maximum number of tokens that the turn may generate. */
   readonly maxTokens: number
-  /** Tokens that all turns of the program may make together; `undefined` where none was named. */
+  /** Maximum number of tokens that all turns of the program may generate together; `undefined` if the request names none. */
   readonly budgetTokens: number | undefined
-  /** Whether what was said is kept for later turns; the program's budget is remembered either way. */
+  /** Whether the turn's content is kept for later turns; its tokens count against the program's budget either way. */
   readonly keeps: boolean
+  /** How long the turn and its program are kept, in ms. */
   readonly retainMs: number
 }
 
-/** What a turn that asks to run is told. */
+/** Result of a request to run a turn. */
 export type Admission =
-  /** No such turn of this account is kept here. */
+  /** The turn to continue from is not in this ledger, or belongs to another account. */
   | { readonly type: 'unknownPrevious' }
+  /** The turn's token limit exceeds what is left of the program's budget. */
   | { readonly type: 'overBudget', readonly spentTokens: number, readonly openTokens: number }
   /**
-   * Chain: the parts of the prompt before the new input, oldest first. Covered: the stored records count the turn's
-   * tokens already, so that they may be handed out; otherwise only once the writes are stored.
+   * The turn may run. `chain`: the parts of the prompt before the new input, oldest first. `isCovered`: stored records
+   * already cover the turn's tokens, so they may be handed out at once; otherwise only after the writes are stored.
    */
   | { readonly type: 'admitted', readonly chain: readonly Uint8Array[], readonly writes: readonly LedgerWrite[], readonly isCovered: boolean }
 
-/** What a settled end needs. */
-export type EndOutcome =
-  /** The writes make it durable, in the order in which they must be stored. */
+/** Result of settling a turn. */
+export type SettleOutcome =
+  /** The writes make it durable; they must be stored in this order. */
   | { readonly type: 'settled', readonly writes: readonly LedgerWrite[] }
-  /** The turn is kept already: its end was stored before. */
+  /** A duplicate: the completed turn is already in the ledger. */
   | { readonly type: 'alreadyKept' }
-  /** No tokens are reserved for such a turn here. */
+  /** This ledger has no reservation for the turn. */
   | { readonly type: 'unknown' }
 
-/** How a turn ended, for its budget. */
+/** How a turn ended. */
 export type TurnEnd =
-  /** Answered whole: kept, and its tokens are known. */
+  /** Completed with a known number of tokens; its content can be kept. */
   | { readonly type: 'whole', readonly input: Uint8Array, readonly output: Uint8Array, readonly tokens: number }
-  /** Nothing of it is kept; so many tokens were handed out, whether it was whole or broke off. */
+  /** Completed or interrupted without keeping its content; `tokens` were handed out. */
   | { readonly type: 'counted', readonly tokens: number }
-  /** Broke off: counts at its most. */
+  /** Interrupted after an unknown number of tokens: counts with its token limit. */
   | { readonly type: 'broken' }
-  /** Nothing of it was handed out: counts nothing. */
+  /** No token was handed out: counts nothing. */
   | { readonly type: 'notRun' }
 
+/** Budget of one program in memory. */
 interface ProgramState {
   spentTokens: number
-  readonly open: Map<records.TurnId, number>
+  /** Turns in flight, each with its token limit. */
+  readonly openTurns: Map<records.TurnId, number>
   keepUntil: types.EpochMs
   readonly coverage: coverage.Coverage
-  /** No record of it was written since it changed. */
-  unwritten: boolean
+  /** The program changed since its last record was written. */
+  hasUnwrittenChange: boolean
 }
 
 interface TurnState extends records.TurnRecord {
   keepUntil: types.EpochMs
 }
 
-/** Clocks of two owners may differ by some seconds; records are kept that much longer than promised. */
-const clockSlackMs = 10_000
+/** Assumed bound on the clock skew between two owners, in ms; records are kept this much longer than promised. */
+const maxClockSkewMs = 10_000
 
-/** State of one shard in memory, always rebuilt from its records by the next owner. */
+/** In-memory state of one shard; each new owner rebuilds it from the stored records. */
 export class TurnLedger {
   private readonly programs = new Map<types.ProgramId, ProgramState>()
   private readonly turns = new Map<records.TurnId, TurnState>()
-  private allowance: records.AllowanceRecord = { inForce: false, takenOverAt: 0 as types.EpochMs }
+  private allowance: records.AllowanceRecord = { isActive: false, takenOverAt: 0 as types.EpochMs }
 
   /**
-   * Takes over a stored record. Turns that a former owner had open stay open, so that it can still settle them here;
-   * what it never settles counts at its most.
+   * Loads a stored record. Turns that were open at a former owner stay open, so that it can still settle them here; those
+   * that it never settles count with their token limit.
    */
   loadRecord (key: string, value: Uint8Array): void {
     const parsed = records.parseKey(key)
@@ -100,7 +105,7 @@
         this.turns.set(parsed.turn, { ...records.decodeTurn(value) })
         return
       case 'program': {
-        this.programs.set(parsed.program, takeOver(records.decodeProgram(value)))
+        this.programs.set(parsed.program, restoreProgram(records.decodeProgram(value)))
         return
       }
       case 'allowance':
@@ -109,69 +114,69 @@
   }
 
   /**
-   * Puts the allowance of programs without a record in force; the writes must be stored before a turn is admitted. Where
-   * it was in force under a former owner, that one ended without a handover: what it handed out is not known.
+   * Activates the allowance of programs without a record; the writes must be stored before a turn is admitted. If the
+   * allowance is still active from a former owner, that owner ended without a handover and what it handed out is unknown.
    */
   activateAllowance (now: types.EpochMs): readonly LedgerWrite[] {
-    const takenOverAt = this.allowance.inForce ? now : this.allowance.takenOverAt
-    this.allowance = { inForce: true, takenOverAt }
-    return [this.allowanceWrite()]
+    const takenOverAt = this.allowance.isActive ? now : this.allowance.takenOverAt
+    this.allowance = { isActive: true, takenOverAt }
+    return [this.createAllowanceWrite()]
   }
 
-  /** Ends the ownership in good order: records of all that has none yet, and the allowance is out of force. */
+  /** Prepares a handover: writes a record of every program with an unwritten change and deactivates the allowance. */
   prepareHandover (): readonly LedgerWrite[] {
-    const unwritten = [...this.programs].filter(([, program]) => program.unwritten)
-    this.allowance = { ...this.allowance, inForce: false }
-    return [...unwritten.map(([id, program]) => this.recordWrite(id, program, used(program))), this.allowanceWrite()]
+    const unwrittenPrograms = [...this.programs].filter(([, program]) => program.hasUnwrittenChange)
+    this.allowance = { ...this.allowance, isActive: false }
+    return [...unwrittenPrograms.map(([id, program]) => this.createProgramWrite(id, program, sumUsedTokens(program))), this.createAllowanceWrite()]
   }
 
-  /** Writes are stored, in the order in which they were made. */
+  /** Notes that writes are stored; must be called in the order in which they were returned. */
   acknowledgeWrites (writes: readonly LedgerWrite[]): void {
     for (const { counts } of writes) {
-      if (counts !== undefined) this.programs.get(counts)?.coverage.acknowledge()
+      if (counts !== undefined) this.programs.get(counts)?.coverage.acknowledgeWrite()
     }
   }
 
-  /** Whether a turn may run; if so, its tokens are reserved. */
+  /** Checks whether a turn may run and, if so, reserves its tokens. */
   admitTurn (request: TurnRequest, now: types.EpochMs): Admission {
-    const chain = this.chainOf(request.previous, request.account)
+    const chain = this.readChain(request.previous, request.account)
     if (chain === undefined) return { type: 'unknownPrevious' }
     const program = this.programs.get(request.program) ?? this.createProgram(request, now)
-    const usedTokens = used(program)
+    const usedTokens = sumUsedTokens(program)
     if (request.budgetTokens !== undefined && usedTokens + request.maxTokens > request.budgetTokens) {
       return { type: 'overBudget', spentTokens: program.spentTokens, openTokens: usedTokens - program.spentTokens }
     }
-    program.open.set(request.turn, request.maxTokens)
-    program.keepUntil = later(program.keepUntil, now, request.retainMs)
-    program.unwritten = true
+    program.openTurns.set(request.turn, request.maxTokens)
+    program.keepUntil = extendKeepUntil(program.keepUntil, now, request.retainMs)
+    program.hasUnwrittenChange = true
     this.programs.set(request.program, program)
-    const covered = request.budgetTokens !== undefined && used(program) <= program.coverage.tokens
-    const writes = this.mustWrite(request, program, covered) ? [this.programWrite(program, request)] : []
-    return { type: 'admitted', chain, writes, isCovered: covered }
+    const isCovered = request.budgetTokens !== undefined && sumUsedTokens(program) <= program.coverage.guaranteedTokens
+    const writes = this.needsRecord(request, program, isCovered) ? [this.createAdvanceWrite(program, request)] : []
+    return { type: 'admitted', chain, writes, isCovered }
   }
 
-  /** Whether nothing of the program has run yet, as far as is known here. */
+  /** Whether no turn of the program has run yet, as far as this ledger knows. */
   isNewProgram (id: types.ProgramId): boolean {
     const program = this.programs.get(id)
-    return program === undefined || (program.spentTokens === 0 && program.open.size === 0)
+    return program === undefined || (program.spentTokens === 0 && program.openTurns.size === 0)
   }
 
   /**
-   * A kept turn whose tokens are counted by what is stored needs no record before its end: that saves a call to the store
-   * for most turns that continue from another, and if its owner ends first, the next one adopts it. Others are written
-   * when the usual next turn would not be covered.
+   * Whether the program needs a record before the turn runs. A kept turn covered by stored records needs none before its
+   * end: that saves a store call for most turns that continue from another, and if the owner fails first, the next one
+   * adopts the turn. Programs whose turns are not kept get a record when a typical next turn would not be covered.
    */
-  private mustWrite (request: TurnRequest, program: ProgramState, covered: boolean): boolean {
-    if (request.keeps) return !covered
-    return request.budgetTokens !== undefined && program.coverage.expected - used(program) < coverage.usualTokens(request.maxTokens)
+  private needsRecord (request: TurnRequest, program: ProgramState, isCovered: boolean): boolean {
+    if (request.keeps) return !isCovered
+    return request.budgetTokens !== undefined && program.coverage.expectedTokens - sumUsedTokens(program) < coverage.estimateTurnTokens(request.maxTokens)
   }
 
-  /** Settles a turn whose tokens are reserved here. */
-  settleTurn (request: TurnRequest, end: TurnEnd, now: types.EpochMs): EndOutcome {
+  /** Settles a turn that has a reservation in this ledger. */
+  settleTurn (request: TurnRequest, end: TurnEnd, now: types.EpochMs): SettleOutcome {
     if (this.turns.has(request.turn)) return { type: 'alreadyKept' }
     const program = this.programs.get(request.program)
-    if (program === undefined || !program.open.delete(request.turn)) return { type: 'unknown' }
-    program.unwritten = true
+    if (program === undefined || !program.openTurns.delete(request.turn)) return { type: 'unknown' }
+    program.hasUnwrittenChange = true
     switch (end.type) {
       case 'notRun': break
       case 'broken':
@@ -181,26 +186,26 @@
       case 'whole':
         program.spentTokens += end.tokens
     }
-    // Without a record of its end a turn counts at its most, which the records cover.
+    // No write is needed: without a record of its end, a turn counts with its token limit, which stored records cover.
     if (!request.keeps || end.type !== 'whole') return { type: 'settled', writes: [] }
-    return { type: 'settled', writes: [this.keepTurn(request, end, now), this.programWrite(program, request)] }
+    return { type: 'settled', writes: [this.storeTurn(request, end, now), this.createAdvanceWrite(program, request)] }
   }
 
   /**
-   * Keeps a turn that a former owner ran whole, and whose reservation it could not store: its tokens were covered then,
-   * and were handed out. `unknown` where the chain that it continues is not here.
+   * Keeps a completed turn of a former owner that could not store the turn's reservation: its tokens were covered there
+   * and have been handed out. Returns `unknown` if the chain that the turn continues is not in this ledger.
    */
-  adoptTurn (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): EndOutcome {
+  adoptTurn (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): SettleOutcome {
     if (this.turns.has(request.turn)) return { type: 'alreadyKept' }
-    if (this.chainOf(request.previous, request.account) === undefined) return { type: 'unknown' }
+    if (this.readChain(request.previous, request.account) === undefined) return { type: 'unknown' }
     const program = this.programs.get(request.program) ?? this.createProgram(request, now)
     this.programs.set(request.program, program)
-    program.keepUntil = later(program.keepUntil, now, request.retainMs)
-    program.open.set(request.turn, request.maxTokens)
+    program.keepUntil = extendKeepUntil(program.keepUntil, now, request.retainMs)
+    program.openTurns.set(request.turn, request.maxTokens)
     return this.settleTurn(request, end, now)
   }
 
-  /** Drops what is past its retention; the writes remove it from the store. */
+  /** Drops turns and programs past their retention; the writes remove them from the store. */
   removeExpired (now: types.EpochMs): readonly LedgerWrite[] {
     const writes: LedgerWrite[] = []
     for (const [turn, state] of this.turns) {
@@ -209,53 +214,53 @@
       writes.push({ key: records.turnKey(turn), value: undefined })
     }
     for (const [id, program] of this.programs) {
-      // A turn that is still open now was left behind by a former owner: retention outlasts every turn.
+      // Retention is longer than any turn, so a turn that is still open now was never settled by a former owner.
       if (program.keepUntil >= now) continue
       this.programs.delete(id)
-      if (program.coverage.isWritten) writes.push({ key: records.programKey(id), value: undefined })
+      if (program.coverage.hasWrittenRecord) writes.push({ key: records.programKey(id), value: undefined })
     }
     return writes
   }
 
-  private keepTurn (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): LedgerWrite {
-    const keepUntil = later(now, now, request.retainMs)
+  private storeTurn (request: TurnRequest, end: Extract<TurnEnd, { type: 'whole' }>, now: types.EpochMs): LedgerWrite {
+    const keepUntil = extendKeepUntil(now, now, request.retainMs)
     const state: TurnState = { program: request.program, account: request.account, previous: request.previous, input: end.input, output: end.output, keepUntil }
     this.turns.set(request.turn, state)
-    this.extendChain(request.previous, keepUntil)
+    this.extendChainRetention(request.previous, keepUntil)
     return { key: records.turnKey(request.turn), value: records.encodeTurn(state) }
   }
 
-  /** Extends the retention of a turn and of all before it to that of a turn that continues from it. */
-  private extendChain (turn: records.TurnId | undefined, keepUntil: types.EpochMs): void {
-    let next = turn
-    while (next !== undefined) {
-      const state = this.turns.get(next)
+  /** Extends the retention of a turn and its predecessors to that of a turn that continues from it. */
+  private extendChainRetention (turn: records.TurnId | undefined, keepUntil: types.EpochMs): void {
+    let currentId = turn
+    while (currentId !== undefined) {
+      const state = this.turns.get(currentId)
       if (state === undefined) return
       if (state.keepUntil < keepUntil) state.keepUntil = keepUntil
-      next = state.previous
+      currentId = state.previous
     }
   }
 
-  /** Stored retention times are those of each turn's own end: derives the chains' once all records are loaded. */
+  /** Must be called once after all records are loaded: stored retention times are those of each turn alone, without later turns of its chain. */
   extendLoadedChains (): void {
-    for (const state of [...this.turns.values()]) this.extendChain(state.previous, state.keepUntil)
+    for (const state of [...this.turns.values()]) this.extendChainRetention(state.previous, state.keepUntil)
   }
 
-  /** A turn of an account with all before it, newest first, for a program of another shard; `undefined` where it is not kept here. */
+  /** Returns a turn of an account with its predecessors, newest first, for a program of another shard; `undefined` if not all are in this ledger. */
   exportChain (turn: records.TurnId, account: types.AccountId | undefined): StoredTurn[] | undefined {
-    if (!this.mayContinue(turn, account)) return undefined
+    if (!this.canContinue(turn, account)) return undefined
     const chain: StoredTurn[] = []
-    let next: records.TurnId | undefined = turn
-    while (next !== undefined) {
-      const record = this.turns.get(next)
+    let currentId: records.TurnId | undefined = turn
+    while (currentId !== undefined) {
+      const record = this.turns.get(currentId)
       if (record === undefined) return undefined
-      chain.push({ turn: next, record })
-      next = record.previous
+      chain.push({ turn: currentId, record })
+      currentId = record.previous
     }
     return chain
   }
 
-  /** Takes a copy of another shard's chain in; the writes make it durable here. */
+  /** Adds a copy of another shard's chain; the writes make it durable in this shard. */
   importChain (chain: readonly StoredTurn[]): LedgerWrite[] {
     return chain.filter(({ turn }) => !this.turns.has(turn)).map(({ turn, record }) => {
       this.turns.set(turn, { ...record })
@@ -263,70 +268,70 @@
     })
   }
 
-  /** A turn is continued by its own account only, and so are all before it. */
-  private mayContinue (turn: records.TurnId, account: types.AccountId | undefined): boolean {
+  /** Whether the turn exists and belongs to the account: only its own account may continue a chain. */
+  private canContinue (turn: records.TurnId, account: types.AccountId | undefined): boolean {
     const state = this.turns.get(turn)
     return state !== undefined && state.account === account
   }
 
-  /** The parts of an account's chain, oldest first; `undefined` where a turn is missing or is another account's. */
-  private chainOf (turn: records.TurnId | undefined, account: types.AccountId | undefined): Uint8Array[] | undefined {
-    if (turn !== undefined && !this.mayContinue(turn, account)) return undefined
+  /** The prompt parts of an account's chain, oldest first; `undefined` if a turn is missing or belongs to another account. */
+  private readChain (turn: records.TurnId | undefined, account: types.AccountId | undefined): Uint8Array[] | undefined {
+    if (turn !== undefined && !this.canContinue(turn, account)) return undefined
     const parts: Uint8Array[] = []
-    let next = turn
-    while (next !== undefined) {
-      const state = this.turns.get(next)
+    let currentId = turn
+    while (currentId !== undefined) {
+      const state = this.turns.get(currentId)
       if (state === undefined) return undefined
       parts.push(state.output, state.input)
-      next = state.previous
+      currentId = state.previous
     }
     return parts.reverse()
   }
 
   /**
-   * A program that this owner hears of for the first time. One without a record may have used its allowance under a
-   * former owner that ended without a handover. Its budget may be passed by one turn: that much of it is not counted,
-   * which spares new programs of one turn a refusal; in return it gets nothing further without a record. Programs whose
-   * turns are kept have records from their first turn on.
+   * Creates the state of a program that this owner has not seen. After a takeover without a handover, a program without a
+   * record may have used its allowance under the former owner; all of it but one turn is then counted as spent. So such a
+   * program may exceed its budget by one turn, but new programs of a single turn are not refused; in return it gets no
+   * further tokens without a record. Programs whose turns are kept have records from their first turn on.
    */
   private createProgram (request: TurnRequest, now: types.EpochMs): ProgramState {
-    const { takenOverAt, inForce } = this.allowance
-    const allowance = request.keeps || request.budgetTokens === undefined ? 0 : coverage.allowanceTokens(request.budgetTokens, request.maxTokens)
-    const mayHaveRun = now < later(takenOverAt, takenOverAt, request.retainMs)
-    const spentTokens = mayHaveRun ? Math.max(0, allowance - request.maxTokens) : 0
-    const covered = inForce && !mayHaveRun ? allowance : 0
-    return { spentTokens, open: new Map(), keepUntil: now, coverage: new coverage.Coverage(covered, false), unwritten: true }
+    const { takenOverAt, isActive } = this.allowance
+    const allowanceTokens = request.keeps || request.budgetTokens === undefined ? 0 : coverage.computeAllowanceTokens(request.budgetTokens, request.maxTokens)
+    const mayHaveRun = now < extendKeepUntil(takenOverAt, takenOverAt, request.retainMs)
+    const spentTokens = mayHaveRun ? Math.max(0, allowanceTokens - request.maxTokens) : 0
+    const coveredTokens = isActive && !mayHaveRun ? allowanceTokens : 0
+    return { spentTokens, openTurns: new Map(), keepUntil: now, coverage: new coverage.Coverage(coveredTokens, false), hasUnwrittenChange: true }
   }
 
-  /** The record counts tokens ahead of those that are used, as far as the budget goes. */
-  private programWrite (program: ProgramState, request: TurnRequest): LedgerWrite {
-    const usedTokens = used(program)
+  /** Writes a program record that reserves tokens in advance, as far as the budget allows. */
+  private createAdvanceWrite (program: ProgramState, request: TurnRequest): LedgerWrite {
+    const usedTokens = sumUsedTokens(program)
     const { budgetTokens = usedTokens, maxTokens, keeps } = request
-    const ahead = coverage.aheadTokens({ budgetTokens, usedTokens, maxTokens, keeps })
-    return this.recordWrite(request.program, program, usedTokens + ahead)
+    const advanceTokens = coverage.computeAdvanceTokens({ budgetTokens, usedTokens, maxTokens, keeps })
+    return this.createProgramWrite(request.program, program, usedTokens + advanceTokens)
   }
 
-  private recordWrite (id: types.ProgramId, program: ProgramState, coveredTokens: number): LedgerWrite {
-    program.coverage.write(coveredTokens)
-    program.unwritten = false
+  private createProgramWrite (id: types.ProgramId, program: ProgramState, coveredTokens: number): LedgerWrite {
+    program.coverage.startWrite(coveredTokens)
+    program.hasUnwrittenChange = false
     return { key: records.programKey(id), value: records.encodeProgram({ ...program, coveredTokens }), counts: id }
   }
 
-  private allowanceWrite (): LedgerWrite {
+  private createAllowanceWrite (): LedgerWrite {
     return { key: records.allowanceKey, value: records.encodeAllowance(this.allowance) }
   }
 }
 
-/** Whatever the record covers may have been handed out; turns that it names can still be settled. */
-function takeOver (record: records.ProgramRecord): ProgramState {
-  const open = new Map(record.open)
-  const spentTokens = Math.max(record.spentTokens, record.coveredTokens - sum(open.values()))
-  return { spentTokens, open, keepUntil: record.keepUntil, coverage: new coverage.Coverage(record.coveredTokens, true), unwritten: false }
+/** Restores a program from its record: all covered tokens may have been handed out, and open turns can still be settled. */
+function restoreProgram (record: records.ProgramRecord): ProgramState {
+  const openTurns = new Map(record.openTurns)
+  const spentTokens = Math.max(record.spentTokens, record.coveredTokens - sum(openTurns.values()))
+  return { spentTokens, openTurns, keepUntil: record.keepUntil, coverage: new coverage.Coverage(record.coveredTokens, true), hasUnwrittenChange: false }
 }
 
-/** Tokens that a program has spent or may still spend in its open turns. */
-function used (program: ProgramState): number {
-  return program.spentTokens + sum(program.open.values())
+/** Tokens that a program has spent or has reserved for its open turns. */
+function sumUsedTokens (program: ProgramState): number {
+  return program.spentTokens + sum(program.openTurns.values())
 }
 
 function sum (values: Iterable<number>): number {
@@ -335,6 +340,6 @@
   return total
 }
 
-function later (current: types.EpochMs, now: types.EpochMs, retainMs: number): types.EpochMs {
-  return Math.max(current, now + retainMs + clockSlackMs) as types.EpochMs
+function extendKeepUntil (keepUntil: types.EpochMs, now: types.EpochMs, retainMs: number): types.EpochMs {
+  return Math.max(keepUntil, now + retainMs + maxClockSkewMs) as types.EpochMs
 }
