--- a/packages/state/share-load/src/index.ts
+++ b/packages/state/share-load/src/index.ts
@@ -1,3 +1,3 @@
-/** Tells the other processes by datagrams what this one has running at each upstream and what went wrong there. */
+/** Reports the load of this process to the others by UDP: requests in flight and failed or slow requests at each upstream. */
 export * from './load-message.js'
 export * from './load-sharer.js'
--- a/packages/state/share-load/src/load-message.ts
+++ b/packages/state/share-load/src/load-message.ts
@@ -1,73 +1,75 @@
-/** The datagram in which a process tells what it has running at each upstream, and what went wrong there since the last. */
+/** Datagram in which a process reports its requests in flight at each upstream, and the requests that failed or were slow there. */
 import * as msgpack from '@msgpack/msgpack'
 import type * as trackUpstreams from '@eelgrasswind/track-upstreams'
 import type * as types from '@eelgrasswind/types'
 
-/** What one datagram holds. */
+/** Content of one datagram. */
 export interface LoadMessage {
+  /** Requests in flight at each upstream. */
   readonly running: trackUpstreams.RunningCounts
+  /** Failed or slow requests at each upstream since the last report. */
   readonly marks: readonly trackUpstreams.MarkReport[]
 }
 
-/** A datagram that is no such message. */
+/** A datagram that can't be decoded as a load message. */
 export class LoadMessageError extends Error {
   override readonly name = 'LoadMessageError'
 }
 
-/** Version of the layout: others are not read, so that processes of two releases can run side by side. */
-const layout = 1
-/** Upstreams and marks that one datagram holds: about 20 bytes each, so that it stays below the 1,400 that a link carries whole. */
-const mostEntries = 50
+/** Version of the message layout; messages of other versions are rejected, so that two releases can run side by side. */
+const layoutVersion = 1
+/** Maximum number of upstreams and marks in one datagram: at about 20 bytes each, it stays below 1,400 bytes and is not fragmented. */
+const maxEntries = 50
 
-/** Bytes of a message. Where it holds too much, what matters least is left out: the smallest counts. */
+/** Encodes a message. If it has too many entries, the upstreams with the smallest counts are left out. */
 export function encodeLoad (message: LoadMessage): Uint8Array {
-  const marks = message.marks.slice(0, mostEntries)
-  const room = mostEntries - marks.length
-  const running = [...message.running].filter(([, count]) => count > 0).sort(([, a], [, b]) => b - a).slice(0, room)
-  return msgpack.encode([layout, running, marks.map(({ upstream, mark, count }) => [upstream, mark, count])])
+  const marks = message.marks.slice(0, maxEntries)
+  const maxRunningEntries = maxEntries - marks.length
+  const running = [...message.running].filter(([, count]) => count > 0).sort(([, a], [, b]) => b - a).slice(0, maxRunningEntries)
+  return msgpack.encode([layoutVersion, running, marks.map(({ upstream, mark, count }) => [upstream, mark, count])])
 }
 
-/** Reads a message. Throws `LoadMessageError` where the bytes are none. */
+/** Decodes a message. Throws `LoadMessageError` if the bytes are not a load message. */
 export function decodeLoad (bytes: Uint8Array): LoadMessage {
-  const row = decodeRow(bytes)
-  const [version, running, marks] = row
-  if (version !== layout) throw new LoadMessageError(`layout ${String(version)}`)
-  if (!Array.isArray(running) || !Array.isArray(marks)) throw new LoadMessageError('expected two lists')
+  const array = decodeArray(bytes)
+  const [version, running, marks] = array
+  if (version !== layoutVersion) throw new LoadMessageError(`unsupported layout version ${String(version)}`)
+  if (!Array.isArray(running) || !Array.isArray(marks)) throw new LoadMessageError('expected arrays of running counts and marks')
   return {
     running: new Map(running.map((entry: unknown) => decodeCount(entry))),
     marks: marks.map((entry: unknown) => decodeMark(entry))
   }
 }
 
-function decodeRow (bytes: Uint8Array): unknown[] {
-  let row: unknown
+function decodeArray (bytes: Uint8Array): unknown[] {
+  let array: unknown
   try {
-    row = msgpack.decode(bytes)
+    array = msgpack.decode(bytes)
   } catch (err) {
-    throw new LoadMessageError('not MessagePack', { cause: err })
+    throw new LoadMessageError('not valid MessagePack', { cause: err })
   }
-  if (!Array.isArray(row)) throw new LoadMessageError('expected a list')
-  return row
+  if (!Array.isArray(array)) throw new LoadMessageError('expected an array')
+  return array
 }
 
 function decodeCount (entry: unknown): [types.UpstreamId, number] {
-  if (!Array.isArray(entry)) throw new LoadMessageError('expected upstream and count')
-  return [idOf(entry[0]), countOf(entry[1])]
+  if (!Array.isArray(entry)) throw new LoadMessageError('expected an array of upstream and count')
+  return [parseId(entry[0]), parseCount(entry[1])]
 }
 
 function decodeMark (entry: unknown): trackUpstreams.MarkReport {
-  if (!Array.isArray(entry)) throw new LoadMessageError('expected upstream, mark and count')
+  if (!Array.isArray(entry)) throw new LoadMessageError('expected an array of upstream, mark and count')
   const mark: unknown = entry[1]
-  if (mark !== 'failed' && mark !== 'slow') throw new LoadMessageError(`mark ${String(mark)}`)
-  return { upstream: idOf(entry[0]), mark, count: countOf(entry[2]) }
+  if (mark !== 'failed' && mark !== 'slow') throw new LoadMessageError(`unknown mark ${String(mark)}`)
+  return { upstream: parseId(entry[0]), mark, count: parseCount(entry[2]) }
 }
 
-function idOf (value: unknown): types.UpstreamId {
-  if (typeof value !== 'string') throw new LoadMessageError('expected the id of an upstream')
+function parseId (value: unknown): types.UpstreamId {
+  if (typeof value !== 'string') throw new LoadMessageError('expected an upstream id')
   return value as types.UpstreamId
 }
 
-function countOf (value: unknown): number {
-  if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 1) throw new LoadMessageError('expected a count')
+function parseCount (value: unknown): number {
+  if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 1) throw new LoadMessageError('expected a positive integer count')
   return value
 }
--- a/packages/state/share-load/src/load-sharer.ts
+++ b/packages/state/share-load/src/load-sharer.ts
@@ -1,4 +1,4 @@
-/** Sends this process's load to the others and takes theirs in. Lost datagrams cost accuracy, nothing else. */
+/** Exchanges load reports with the other processes by UDP. A lost datagram only costs accuracy. */
 import * as dgram from 'node:dgram'
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as timerService from '@eelgrasswind/timer-service'
@@ -6,61 +6,63 @@
 import type * as types from '@eelgrasswind/types'
 import * as loadMessage from './load-message.js'
 
-/** What a sharer needs from its process. */
+/** Dependencies of a load sharer. */
 export interface LoadSharerPorts {
   readonly upstreams: trackUpstreams.UpstreamList
   readonly loads: trackUpstreams.PeerLoads
-  /** Addresses of the other processes that are known otherwise, IP:PORT; those that sent a report are added. */
+  /** Known addresses of other processes, IP:PORT; senders of received reports are added to them. */
   readonly peers: () => readonly string[]
-  /** Another process reports marks. */
+  /** Called with the failed or slow requests that another process reported. */
   readonly onMarksReceived: (marks: readonly trackUpstreams.MarkReport[]) => void
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
 /**
- * Time between two ticks, in ms. Each datagram wakes its receiver: at 150 ms, 29 processes spent a quarter more processor
- * time on a quiet day than without reports.
+ * Interval between two ticks, in ms. Each datagram wakes its receiver: at 150 ms, 29 processes under low load used a
+ * quarter more processor time than without reports.
  */
-const periodMs = 400
-/** Ticks without change after which a report is repeated: well within the life of one. */
+const tickIntervalMs = 400
+/** Ticks after which an unchanged report is repeated, well before receivers discard it as stale. */
 const repeatTicks = 3
-/** Peers told in one tick. More than these are told in turn, so that a process sends at most 35 datagrams a second. */
+/** Peers served in one tick; larger sets are served round-robin, so that a process sends at most 35 datagrams per second. */
 const peersPerTick = 14
-/** Peers told at all; larger fleets see a sample of one another. */
-const mostPeers = 42
+/** Maximum number of peers that a process sends to; in larger fleets each process reports to a sample. */
+const maxPeers = 42
 
 /** The report of one tick. */
 interface Report {
   readonly bytes: Buffer
+  /** The bytes as a string, to compare reports. */
   readonly text: string
-  /** It holds marks, which are told once. */
-  readonly isNews: boolean
+  /** Marks are sent to each peer once, even if the report is otherwise unchanged. */
+  readonly hasMarks: boolean
 }
 
-/** One process's side of the exchange. */
+/** Sends this process's load to its peers and receives theirs. */
 export class LoadSharer {
   private readonly socket: dgram.Socket
-  /** Marks by the tick in which they came, the newest last: as many ticks as it takes to tell every peer once. */
-  private marks: trackUpstreams.MarkReport[][] = [[]]
+  /** Marks by tick, newest last, for as many ticks as it takes to reach every peer once. */
+  private marksByTick: trackUpstreams.MarkReport[][] = [[]]
   private subscription: timerService.Subscription | undefined
-  private ticks = 0
-  /** What each peer was told last, and in which tick. */
-  private readonly told = new Map<string, { readonly text: string, readonly tick: number }>()
-  private failing = false
-  private closed = false
+  private tickCount = 0
+  /** The last report sent to each peer, and its tick. */
+  private readonly lastSent = new Map<string, { readonly text: string, readonly tick: number }>()
+  /** The last send failed and was logged. */
+  private isFailing = false
+  private isClosed = false
 
   constructor (private readonly address: string, private readonly ports: LoadSharerPorts) {
-    // Addresses are numbers: nothing is looked up.
+    // Peer addresses are numeric, so no name lookup is needed.
     this.socket = dgram.createSocket({ type: 'udp4', lookup: (host, _options, done) => { done(null, host, 4) } })
     this.socket.on('message', (bytes, from) => { this.receive(bytes, `${from.address}:${from.port}`) })
-    this.socket.on('error', (err) => { this.noteFailure(err) })
+    this.socket.on('error', (err) => { this.logFailure(err) })
   }
 
-  /** Resolves when reports are taken in, or when it is clear that they can't be: the process does without them then. */
+  /** Resolves when the socket is bound, or when binding failed: the process then runs without reports from its peers. */
   start (): Promise<void> {
     const [host, port] = this.address.split(':')
-    this.subscription = this.ports.timers.every(periodMs, () => { this.tick() })
+    this.subscription = this.ports.timers.every(tickIntervalMs, () => { this.runTick() })
     return new Promise((resolve) => {
       this.socket.once('error', () => { resolve() })
       this.socket.bind(Number(port), host, resolve)
@@ -68,33 +70,33 @@
   }
 
   close (): void {
-    if (this.closed) return
-    this.closed = true
+    if (this.isClosed) return
+    this.isClosed = true
     this.subscription?.cancel()
     this.socket.close()
   }
 
-  /** Something went wrong with one request; the others hear of it with the next datagram. */
+  /** Records a failed or slow request at an upstream, for the next report. */
   recordMark (upstream: types.UpstreamId, mark: trackUpstreams.Mark): void {
-    this.marks.at(-1)!.push({ upstream, mark, count: 1 })
+    this.marksByTick.at(-1)!.push({ upstream, mark, count: 1 })
   }
 
-  private tick (): void {
+  private runTick (): void {
     const { loads, timers } = this.ports
     loads.expire(timers.monotonic())
-    const peers = this.allPeers()
-    const turns = Math.max(1, Math.ceil(peers.length / peersPerTick))
-    const marks = mergeMarks(this.marks.flat())
-    const bytes = Buffer.from(loadMessage.encodeLoad({ running: this.running(), marks }))
-    const report: Report = { bytes, text: bytes.toString('latin1'), isNews: marks.length > 0 }
-    for (let at = this.ticks % turns; at < peers.length; at += turns) this.tell(peers[at]!, report)
-    this.forget(peers)
-    this.ticks += 1
-    this.marks.push([])
-    this.marks = this.marks.slice(-turns)
+    const peers = this.selectPeers()
+    const groupCount = Math.max(1, Math.ceil(peers.length / peersPerTick))
+    const marks = mergeMarks(this.marksByTick.flat())
+    const bytes = Buffer.from(loadMessage.encodeLoad({ running: this.countRunning(), marks }))
+    const report: Report = { bytes, text: bytes.toString('latin1'), hasMarks: marks.length > 0 }
+    for (let index = this.tickCount % groupCount; index < peers.length; index += groupCount) this.sendReport(peers[index]!, report)
+    this.dropDeparted(peers)
+    this.tickCount += 1
+    this.marksByTick.push([])
+    this.marksByTick = this.marksByTick.slice(-groupCount)
   }
 
-  private running (): trackUpstreams.RunningCounts {
+  private countRunning (): trackUpstreams.RunningCounts {
     const running = new Map<types.UpstreamId, number>()
     for (const upstream of this.ports.upstreams.getAll()) {
       if (upstream.running > 0) running.set(upstream.listed.id, upstream.running)
@@ -102,37 +104,37 @@
     return running
   }
 
-  /** Some of a fleet that is too large for everyone to tell everyone: neighbours in the order of addresses. */
-  private allPeers (): string[] {
-    const all = [...new Set([...this.ports.peers(), ...this.ports.loads.peers])].sort()
-    if (all.length <= mostPeers) return all
-    const first = all.findIndex((peer) => peer > this.address)
-    return Array.from({ length: mostPeers }, (_, index) => all[(first + index + all.length) % all.length]!)
+  /** The peers to send to; in a fleet larger than `maxPeers`, the next ones after this process in the order of addresses. */
+  private selectPeers (): string[] {
+    const addresses = [...new Set([...this.ports.peers(), ...this.ports.loads.peers])].sort()
+    if (addresses.length <= maxPeers) return addresses
+    const firstIndex = addresses.findIndex((peer) => peer > this.address)
+    return Array.from({ length: maxPeers }, (_, index) => addresses[(firstIndex + index + addresses.length) % addresses.length]!)
   }
 
-  private tell (peer: string, { bytes, text, isNews }: Report): void {
-    const last = this.told.get(peer)
-    if (!isNews && last?.text === text && this.ticks - last.tick < repeatTicks) return
-    this.told.set(peer, { text, tick: this.ticks })
+  private sendReport (peer: string, { bytes, text, hasMarks }: Report): void {
+    const lastReport = this.lastSent.get(peer)
+    if (!hasMarks && lastReport?.text === text && this.tickCount - lastReport.tick < repeatTicks) return
+    this.lastSent.set(peer, { text, tick: this.tickCount })
     this.send(bytes, peer)
   }
 
-  /** Forgets what peers were told that are no longer there. */
-  private forget (peers: readonly string[]): void {
-    if (this.told.size <= peers.length) return
-    for (const peer of this.told.keys()) if (!peers.includes(peer)) this.told.delete(peer)
+  /** Drops the last reports of peers that are no longer known. */
+  private dropDeparted (peers: readonly string[]): void {
+    if (this.lastSent.size <= peers.length) return
+    for (const peer of this.lastSent.keys()) if (!peers.includes(peer)) this.lastSent.delete(peer)
   }
 
   private send (bytes: Buffer, peer: string): void {
     const [host, port] = peer.split(':')
-    // Addresses come from the network: one that can't be sent to must not end the process.
+    // Addresses come from the network: an invalid one must not crash the process.
     if (!isPort(Number(port))) {
-      this.noteFailure(new Error(`no address of a peer: ${peer}`))
+      this.logFailure(new Error(`invalid peer address: ${peer}`))
       return
     }
     this.socket.send(bytes, Number(port), host, (err) => {
-      if (err === null) this.failing = false
-      else this.noteFailure(err)
+      if (err === null) this.isFailing = false
+      else this.logFailure(err)
     })
   }
 
@@ -146,10 +148,10 @@
     }
   }
 
-  /** Told once until a datagram goes out again. */
-  private noteFailure (err: Error): void {
-    if (this.closed || this.failing) return
-    this.failing = true
+  /** Logs the first failure, and no further one until a datagram was sent. */
+  private logFailure (err: Error): void {
+    if (this.isClosed || this.isFailing) return
+    this.isFailing = true
     this.ports.decisions.note({ event: 'loadNotShared', err })
   }
 }
@@ -158,7 +160,7 @@
   return Number.isInteger(port) && port > 0 && port < 65_536
 }
 
-/** One report for each upstream and kind of mark. */
+/** Sums marks by upstream and kind. */
 function mergeMarks (marks: readonly trackUpstreams.MarkReport[]): trackUpstreams.MarkReport[] {
   const merged = new Map<string, trackUpstreams.MarkReport>()
   for (const { upstream, mark, count } of marks) {
