--- a/packages/state/follow-records/src/index.ts
+++ b/packages/state/follow-records/src/index.ts
@@ -1,2 +1,2 @@
-/** Follows the newest records of a keyed partition: every change in order, and a whole reading where some were missed. */
+/** Follows a keyed partition: a snapshot of the newest records, then every change in order; a new snapshot if changes were missed. */
 export * from './record-follower.js'
--- a/packages/state/follow-records/src/record-follower.ts
+++ b/packages/state/follow-records/src/record-follower.ts
@@ -1,78 +1,81 @@
-/** Follows one keyed partition by polling, from its newest records on. */
+/** Follows one keyed partition by polling, starting from a snapshot of its newest records. */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as shardLog from '@eelgrasswind/shard-log'
 import * as timerService from '@eelgrasswind/timer-service'
 
-/** What is followed, and how often it is read. */
+/** The partition to follow and the poll timing. */
 export interface FollowerSettings {
   readonly partition: shardLog.Partition
-  /** Pause between two reads, in ms. */
+  /** Poll interval, in ms, from the end of one read to the start of the next. */
   readonly pollMs: number
-  /** How long the store holds a read that finds nothing new, in ms. */
+  /** How long the store may hold a read that finds nothing new, in ms; 0 for no long polling. */
   readonly longPollMs: number
 }
 
-/** What a follower needs from its process. */
+/** Dependencies of a follower. */
 export interface FollowerPorts {
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** What the follower tells. */
+/** Callbacks of a follower. */
 export interface FollowerEvents {
-  /** The newest records in full, after the start and whenever some changes were missed. */
+  /** Called with the newest record of every key, after the start and whenever changes were missed. */
   readonly onSnapshot: (records: ReadonlyMap<string, Uint8Array>) => void
   readonly onPut: (key: string, value: Uint8Array) => void
   readonly onRemove: (key: string) => void
 }
 
-/** Pause after a failed read, in ms. */
-const failedPauseMs = 150
-/** An answer after a silence this long, in ms, counts as the return of the store. */
-const outageMs = 1_500
+/** Delay after a failed read, in ms. */
+const retryDelayMs = 150
+/** Time without an answer, in ms, after which the next answer counts as the store's recovery from an outage. */
+const minOutageMs = 1_500
 
-/** Reads all newest records once, then what was appended since; starts over where that is no longer to be had. */
+/** Reads a snapshot of the newest records, then the records appended since; starts over if those have expired. */
 export class RecordFollower {
-  private next: number | undefined
-  private lastAnswerAt: number | undefined
-  private returnedAt = -Infinity
-  private stopped = false
-  private failing = false
+  /** Offset of the next read; `undefined` if a snapshot must be read first. */
+  private nextOffset: number | undefined
+  /** Times of the last answer and of the last recovery of the store, in ms of the monotonic clock. */
+  private lastAnswerAtMs: number | undefined
+  private recoveredAtMs = -Infinity
+  private isStopped = false
+  private isFailing = false
 
   constructor (private readonly settings: FollowerSettings, private readonly ports: FollowerPorts, private readonly events: FollowerEvents) {}
 
   start (): void {
-    void this.run()
+    void this.runPolling()
   }
 
   stop (): void {
-    this.stopped = true
+    this.isStopped = true
   }
 
-  /** Age of what is known, in ms; infinite before the first answer. */
+  /** Staleness of the records, in ms: the time since the last answer; infinite before the first. */
   ageMs (): number {
-    return this.lastAnswerAt === undefined ? Infinity : this.ports.timers.monotonic() - this.lastAnswerAt
+    return this.lastAnswerAtMs === undefined ? Infinity : this.ports.timers.monotonic() - this.lastAnswerAtMs
   }
 
-  /** Time since the store came back from an outage, in ms; infinite if there was none. */
+  /** Time since the store last recovered from an outage, in ms; infinite if there was none. */
   sinceRecoveryMs (): number {
-    return this.ports.timers.monotonic() - this.returnedAt
+    return this.ports.timers.monotonic() - this.recoveredAtMs
   }
 
-  private async run (): Promise<void> {
-    while (!this.stopped) {
-      const answered = this.next === undefined ? await this.readNewest() : await this.readOn(this.next)
-      await timerService.sleep(this.ports.timers, answered ? this.settings.pollMs : failedPauseMs)
+  private async runPolling (): Promise<void> {
+    while (!this.isStopped) {
+      const isAnswered = this.nextOffset === undefined ? await this.readSnapshot() : await this.readChanges(this.nextOffset)
+      await timerService.sleep(this.ports.timers, isAnswered ? this.settings.pollMs : retryDelayMs)
     }
   }
 
-  private async readOn (from: number): Promise<boolean> {
+  /** Reads the records from an offset on; resolves to whether the store answered. */
+  private async readChanges (from: number): Promise<boolean> {
     const page = await this.ports.log.read({ partition: this.settings.partition, from, waitMs: this.settings.longPollMs })
     switch (page.type) {
       case 'records':
-        this.noteAnswer()
-        this.next = page.next
+        this.recordAnswer()
+        this.nextOffset = page.next
         for (const { key, value } of page.records) {
           if (value === undefined) this.events.onRemove(key)
           else this.events.onPut(key, value)
@@ -80,45 +83,46 @@
         return true
       case 'expired':
         this.ports.decisions.note({ event: 'changesMissed', topic: this.settings.partition.topic, from })
-        this.next = undefined
+        this.nextOffset = undefined
         return true
       case 'refused':
       case 'noAnswer':
-        this.noteFailure(page)
+        this.recordFailure(page)
         return false
     }
   }
 
-  private async readNewest (): Promise<boolean> {
-    const found = new Map<string, Uint8Array>()
+  /** Reads the newest records in full; resolves to whether the store answered. */
+  private async readSnapshot (): Promise<boolean> {
+    const snapshot = new Map<string, Uint8Array>()
     let after: string | undefined
-    let end: number | undefined
+    let endOffset: number | undefined
     do {
       const page = await this.ports.log.newest(this.settings.partition, after)
       if (page.type !== 'page') {
-        this.noteFailure(page)
+        this.recordFailure(page)
         return false
       }
-      for (const { key, value } of page.records) found.set(key, value)
-      end ??= page.end
+      for (const { key, value } of page.records) snapshot.set(key, value)
+      endOffset ??= page.end
       after = page.after
     } while (after !== undefined)
-    this.noteAnswer()
-    this.next = end
-    this.events.onSnapshot(found)
+    this.recordAnswer()
+    this.nextOffset = endOffset
+    this.events.onSnapshot(snapshot)
     return true
   }
 
-  private noteAnswer (): void {
+  private recordAnswer (): void {
     const now = this.ports.timers.monotonic()
-    if (this.lastAnswerAt !== undefined && now - this.lastAnswerAt > outageMs + this.settings.longPollMs) this.returnedAt = now
-    this.lastAnswerAt = now
-    if (this.failing) this.ports.decisions.note({ event: 'storeBack', topic: this.settings.partition.topic })
-    this.failing = false
+    if (this.lastAnswerAtMs !== undefined && now - this.lastAnswerAtMs > minOutageMs + this.settings.longPollMs) this.recoveredAtMs = now
+    this.lastAnswerAtMs = now
+    if (this.isFailing) this.ports.decisions.note({ event: 'storeBack', topic: this.settings.partition.topic })
+    this.isFailing = false
   }
 
-  private noteFailure (failure: shardLog.StoreFailure): void {
-    if (!this.failing) this.ports.decisions.note({ event: 'storeAway', topic: this.settings.partition.topic, failure })
-    this.failing = true
+  private recordFailure (failure: shardLog.StoreFailure): void {
+    if (!this.isFailing) this.ports.decisions.note({ event: 'storeAway', topic: this.settings.partition.topic, failure })
+    this.isFailing = true
   }
 }
--- a/packages/state/relay-store/src/index.ts
+++ b/packages/state/relay-store/src/index.ts
@@ -1,2 +1,2 @@
-/** Reaches the store through another process while the store turns this one away. */
+/** Relays store calls through another process while the store does not serve this one. */
 export * from './relayed-log.js'
--- a/packages/state/relay-store/src/relayed-log.test.ts
+++ b/packages/state/relay-store/src/relayed-log.test.ts
@@ -10,65 +10,65 @@
 function fixture (peerFaults: readonly standIns.ShardLogFaults[]) {
   const timers = timerService.createManualTimers()
   const store = new standIns.MemoryShardLog(timers, 1)
-  const own = standIns.noFaults()
-  const asked: string[] = []
+  const ownFaults = standIns.noFaults()
+  const calledPeers: string[] = []
   const peers = new Map(peerFaults.map((faults, index) => [`peer-${index}`, store.client(faults)]))
   const relay = new relayedLog.RelayedLog({
-    directLog: store.client(own),
+    directLog: store.client(ownFaults),
     peers: () => [...peers.keys()],
     callPeer: (address, call) => {
-      asked.push(address)
+      calledPeers.push(address)
       return shardLog.runStoreCall(peers.get(address)!, call)
     },
     timers,
     decisions: decisionLog.createSilentDecisionLog()
   })
-  return { timers, own, asked, log: relay.log }
+  return { timers, ownFaults, calledPeers, log: relay.log }
 }
 
-const turnedAway = (): standIns.ShardLogFaults => ({ ...standIns.noFaults(), refuse: true })
+const createRefusing = (): standIns.ShardLogFaults => ({ ...standIns.noFaults(), refuse: true })
 
 function append (log: shardLog.ShardLog, sequence: number): Promise<shardLog.AppendOutcome> {
   return log.append({ partition, epoch: 1, sequence, records: [{ key: `k${sequence}`, value: Buffer.from('v') }] })
 }
 
-tap.test('a host that is turned away appends through a peer that is not', async (t) => {
-  const { timers, own, asked, log } = fixture([turnedAway(), standIns.noFaults(), turnedAway()])
-  own.refuse = true
-  const first = append(log, 0)
+tap.test('a host that the store refuses appends through a peer that it serves', async (t) => {
+  const { timers, ownFaults, calledPeers, log } = fixture([createRefusing(), standIns.noFaults(), createRefusing()])
+  ownFaults.refuse = true
+  const firstAppend = append(log, 0)
   await timers.advanceAsync(50)
-  t.equal((await first).type, 'appended')
-  const before = asked.length
-  const second = append(log, 1)
+  t.equal((await firstAppend).type, 'appended')
+  const callCountBefore = calledPeers.length
+  const secondAppend = append(log, 1)
   await timers.advanceAsync(50)
-  t.equal((await second).type, 'appended')
-  t.same(asked.slice(before), ['peer-1'], 'the peer that worked is asked first')
+  t.equal((await secondAppend).type, 'appended')
+  t.same(calledPeers.slice(callCountBefore), ['peer-1'], 'the peer that relayed the last call is called first')
 })
 
-tap.test('the store itself is used again once it serves this host', async (t) => {
-  const { timers, own, asked, log } = fixture([standIns.noFaults()])
-  own.refuse = true
-  const first = append(log, 0)
+tap.test('calls go to the store directly again once it serves this host', async (t) => {
+  const { timers, ownFaults, calledPeers, log } = fixture([standIns.noFaults()])
+  ownFaults.refuse = true
+  const firstAppend = append(log, 0)
   await timers.advanceAsync(50)
-  t.equal((await first).type, 'appended')
-  own.refuse = false
+  t.equal((await firstAppend).type, 'appended')
+  ownFaults.refuse = false
   const probe = log.owners('homes')
   await timers.advanceAsync(50)
   t.equal((await probe).type, 'owners')
-  const before = asked.length
-  const second = append(log, 1)
+  const callCountBefore = calledPeers.length
+  const secondAppend = append(log, 1)
   await timers.advanceAsync(50)
-  t.equal((await second).type, 'appended')
-  t.equal(asked.length, before)
+  t.equal((await secondAppend).type, 'appended')
+  t.equal(calledPeers.length, callCountBefore)
 })
 
-tap.test('an outage for all costs few calls of peers', async (t) => {
-  const { timers, own, asked, log } = fixture([turnedAway(), turnedAway(), turnedAway(), turnedAway()])
-  own.refuse = true
+tap.test('an outage of the store for every host causes few calls to peers', async (t) => {
+  const { timers, ownFaults, calledPeers, log } = fixture([createRefusing(), createRefusing(), createRefusing(), createRefusing()])
+  ownFaults.refuse = true
   for (let round = 0; round < 10; round += 1) {
-    const failed = append(log, 0)
+    const failedAppend = append(log, 0)
     await timers.advanceAsync(20)
-    t.equal((await failed).type, 'refused')
+    t.equal((await failedAppend).type, 'refused')
   }
-  t.equal(asked.length, 3)
+  t.equal(calledPeers.length, 3)
 })
--- a/packages/state/relay-store/src/relayed-log.ts
+++ b/packages/state/relay-store/src/relayed-log.ts
@@ -1,84 +1,87 @@
 /**
- * A shard log that goes through peers while the store does not serve this process. The store may turn single hosts
- * away, or be cut off from them, while it serves the rest: without a relay such a host loses its lease and all that
- * its programs have under way.
+ * Shard log that relays calls through peers while the store does not serve this process. The store may refuse single
+ * hosts, or be partitioned from them, while it serves the rest: without a relay, such a host loses its lease and the
+ * turns that it has in flight.
  */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import * as shardLog from '@eelgrasswind/shard-log'
 import type * as timerService from '@eelgrasswind/timer-service'
 
-/** The store, and the peers that may stand in for the way to it. */
+/** Dependencies of a relayed log. */
 export interface RelayPorts {
   /** The store itself. */
   readonly directLog: shardLog.ShardLog
-  /** Addresses of processes that may be asked, in any order. */
+  /** Addresses of processes that may relay calls, in any order. */
   readonly peers: () => readonly string[]
-  /** Has a peer make the call; `undefined` where the peer gave no answer. */
+  /** Has a peer make the call; `undefined` if the peer did not answer. */
   readonly callPeer: (address: string, call: shardLog.StoreCall) => Promise<shardLog.StoreAnswer | undefined>
   readonly timers: timerService.TimerService
   readonly decisions: decisionLog.DecisionLog
 }
 
-/** Peers that one call asks at most: where the store turns a third of the hosts away, 1 call in 27 finds none of 3. */
-const maxPeers = 3
-/** After neither way worked, peers are left alone this long, in ms: the store is most likely away for all. */
-const awayMs = 300
+/** Maximum number of peers tried for one call: if the store refuses a third of the hosts, 1 call in 27 fails at all 3. */
+const maxPeersPerCall = 3
+/** Time without relay attempts after the store and every tried peer failed, in ms: the store most likely serves no host then. */
+const outageBackoffMs = 300
 
-/** Gives a shard log that works as long as the store serves this process or one of its peers. */
+/** Provides a shard log that works as long as the store serves this process or one of its peers. */
 export class RelayedLog {
-  /** The peer that made the last call; `undefined` while the store serves this process. */
-  private peer: string | undefined
-  private awayUntil = -Infinity
-  private nextPeer = 0
+  /** The peer that relayed the last call; `undefined` while the store serves this process. */
+  private relayPeer: string | undefined
+  /** End of the backoff after a failed relay, in ms of the monotonic clock. */
+  private backoffUntilMs = -Infinity
+  private nextPeerIndex = 0
 
   constructor (private readonly ports: RelayPorts) {}
 
-  readonly log: shardLog.ShardLog = shardLog.shardLogOver((call) => this.run(call))
+  /** The shard log to use in place of the direct one. */
 
-  private async run (call: shardLog.StoreCall): Promise<shardLog.StoreAnswer> {
-    if (this.peer !== undefined && !isProbe(call)) {
-      const answer = await this.ask(this.peer, call)
+  readonly log: shardLog.ShardLog = shardLog.shardLogOver((call) => this.runCall(call))
+
+  private async runCall (call: shardLog.StoreCall): Promise<shardLog.StoreAnswer> {
+    if (this.relayPeer !== undefined && !isProbe(call)) {
+      const answer = await this.callThroughPeer(this.relayPeer, call)
       if (answer !== undefined) return answer
     }
     const answer = await shardLog.runStoreCall(this.ports.directLog, call)
-    if (shardLog.isUnserved(answer)) return this.relay(call, answer)
-    if (this.peer !== undefined) this.ports.decisions.note({ event: 'storeDirect', peer: this.peer })
-    this.peer = undefined
+    if (shardLog.isUnserved(answer)) return this.relayCall(call, answer)
+    if (this.relayPeer !== undefined) this.ports.decisions.note({ event: 'storeDirect', peer: this.relayPeer })
+    this.relayPeer = undefined
     return answer
   }
 
-  private async relay (call: shardLog.StoreCall, failure: shardLog.StoreFailure): Promise<shardLog.StoreAnswer> {
+  private async relayCall (call: shardLog.StoreCall, failure: shardLog.StoreFailure): Promise<shardLog.StoreAnswer> {
     const { timers, decisions } = this.ports
-    if (timers.monotonic() < this.awayUntil) return failure
-    for (const address of this.candidates()) {
-      const answer = await this.ask(address, call)
+    if (timers.monotonic() < this.backoffUntilMs) return failure
+    for (const address of this.takeCandidates()) {
+      const answer = await this.callThroughPeer(address, call)
       if (answer === undefined) continue
-      if (this.peer !== address) decisions.note({ event: 'storeRelayed', peer: address, call: call.type, failure })
-      this.peer = address
+      if (this.relayPeer !== address) decisions.note({ event: 'storeRelayed', peer: address, call: call.type, failure })
+      this.relayPeer = address
       return answer
     }
-    this.peer = undefined
-    this.awayUntil = timers.monotonic() + awayMs
+    this.relayPeer = undefined
+    this.backoffUntilMs = timers.monotonic() + outageBackoffMs
     return failure
   }
 
-  /** Some peers, others each time. */
-  private candidates (): string[] {
+  /** Selects the next peers in round-robin order. */
+  private takeCandidates (): string[] {
     const peers = this.ports.peers()
-    const count = Math.min(maxPeers, peers.length)
-    const first = this.nextPeer
-    this.nextPeer += count
-    return Array.from({ length: count }, (_, index) => peers[(first + index) % peers.length]!)
+    const count = Math.min(maxPeersPerCall, peers.length)
+    const firstIndex = this.nextPeerIndex
+    this.nextPeerIndex += count
+    return Array.from({ length: count }, (_, index) => peers[(firstIndex + index) % peers.length]!)
   }
 
-  /** The store's answer by way of a peer; `undefined` where the peer can't reach the store either. */
-  private async ask (address: string, call: shardLog.StoreCall): Promise<shardLog.StoreAnswer | undefined> {
+  /** The store's answer through a peer; `undefined` if the peer doesn't answer or the store doesn't serve it either. */
+  private async callThroughPeer (address: string, call: shardLog.StoreCall): Promise<shardLog.StoreAnswer | undefined> {
     const answer = await this.ports.callPeer(address, call)
     return answer === undefined || shardLog.isUnserved(answer) ? undefined : answer
   }
 }
 
-/** While calls go through a peer, this one also tries the store itself: it is made every second and nothing waits for it. */
+/** Whether a call tries the store directly even while calls are relayed: `owners` is made every second and nothing waits for it. */
 function isProbe (call: shardLog.StoreCall): boolean {
   return call.type === 'owners'
 }
