--- a/packages/state/config-state/src/config-state.test.ts
+++ b/packages/state/config-state/src/config-state.test.ts
@@ -1,8 +1,8 @@
 import tap from 'tap'
 import * as parseSettings from '@eelgrasswind/parse-settings'
-import * as state from './index.js'
+import * as configState from './index.js'
 
-const text = `{
+const invalidDocument = `{
   "hosts": {
     "h1": { "region": "ncr", "availabilityZone": "a", "upstreams": [
       { "id": "e1", "type": "engine", "address": "http://10.0.0.1:81", "models": ["m", "x", "m"], "contextTokens": 9, "slots": 1, "cacheTokens": 1, "checksFencing": true },
@@ -18,8 +18,8 @@
   "limits": { "snapshotMs": 50000000 }
 }`
 
-tap.test('errors between sections name section, id and field, at their place', async (t) => {
-  const result = parseSettings.parseSettings(text, state.documentSchema, 'c')
+tap.test('errors between sections name the section, id and field at their position', async (t) => {
+  const result = parseSettings.parseSettings(invalidDocument, configState.documentSchema, 'c')
   t.same(result.ok ? [] : parseSettings.formatSettingsErrors(result.failure).split('\n'), [
     'c:4:88: hosts.h1.upstreams[0].models[1]: expected a model of the section models, found "x"',
     'c:4:93: hosts.h1.upstreams[0].models[2]: expected each model once, found "m", which hosts.h1.upstreams[0].models[0] has',
@@ -32,25 +32,25 @@
   ])
 })
 
-tap.test('addresses are IP numbers with a port', async (t) => {
-  const good = ['http://10.0.0.1:80', 'http://[::1]:8080']
-  const bad = ['http://localhost:80', 'http://10.0.0.256:80', 'http://10.0.0.1', 'http://10.0.0.1:0', 'http://10.0.0.1:70000', 'https://10.0.0.1:80', 'http://10.0.0.1:80/x']
-  t.same([...good, ...bad].filter(state.isAddress), good)
+tap.test('an address must be an IP address with a port', async (t) => {
+  const validAddresses = ['http://10.0.0.1:80', 'http://[::1]:8080']
+  const invalidAddresses = ['http://localhost:80', 'http://10.0.0.256:80', 'http://10.0.0.1', 'http://10.0.0.1:0', 'http://10.0.0.1:70000', 'https://10.0.0.1:80', 'http://10.0.0.1:80/x']
+  t.same([...validAddresses, ...invalidAddresses].filter(configState.isAddress), validAddresses)
 })
 
-tap.test('hosts may use the same loopback address, but no other address twice', async (t) => {
-  const host = (id: string, address: string): unknown => ({ region: 'r', availabilityZone: 'z', upstreams: [{ id, type: 'service', address, service: 's', slots: 1 }] })
-  const check = (address: string): boolean => state.validateConfig({ services: { s: {} }, hosts: { a: host('a1', address), b: host('b1', address) } }).ok
-  t.same([check('http://127.0.0.1:80'), check('http://[::1]:80'), check('http://10.0.0.1:80')], [true, true, false])
+tap.test('only loopback addresses may be used by several hosts', async (t) => {
+  const createHost = (id: string, address: string): unknown => ({ region: 'r', availabilityZone: 'z', upstreams: [{ id, type: 'service', address, service: 's', slots: 1 }] })
+  const isValid = (address: string): boolean => configState.validateConfig({ services: { s: {} }, hosts: { a: createHost('a1', address), b: createHost('b1', address) } }).ok
+  t.same([isValid('http://127.0.0.1:80'), isValid('http://[::1]:80'), isValid('http://10.0.0.1:80')], [true, true, false])
 })
 
-tap.test('an id that is a member of every object is an id like others', async (t) => {
-  const result = state.validateConfig({ hosts: { h: { region: 'r', availabilityZone: 'z', upstreams: [{ id: 's', type: 'service', address: 'http://10.0.0.1:80', service: 'constructor', slots: 1 }] } } })
+tap.test('an id equal to a property of every object is an ordinary id', async (t) => {
+  const result = configState.validateConfig({ hosts: { h: { region: 'r', availabilityZone: 'z', upstreams: [{ id: 's', type: 'service', address: 'http://10.0.0.1:80', service: 'constructor', slots: 1 }] } } })
   t.match(result, { ok: false, failure: [{ path: ['hosts', 'h', 'upstreams', 0, 'service'], found: '"constructor"' }] })
 })
 
-tap.test('every field of the schema has a meaning, and every number a unit', async (t) => {
-  const rows = parseSettings.describeSchema(state.documentShape)
+tap.test('every field of the schema has a description, and every number a unit', async (t) => {
+  const rows = parseSettings.describeSchema(configState.documentShape)
   t.same(rows.filter((row) => row.meaning === '').map((row) => row.field), [])
   t.same(rows.filter((row) => /^(integer|number)/.test(row.type) && row.unit === '' && row.field !== 'kinds.<id>.weight').map((row) => row.field), [])
 })
--- a/packages/state/config-state/src/config.ts
+++ b/packages/state/config-state/src/config.ts
@@ -9,6 +9,7 @@
 export const sections = [...keyedSections, 'limits'] as const
 export type Section = typeof sections[number]
 
+/** A configuration; each section but `limits` is a map by id. */
 export interface Config {
   readonly hosts: ReadonlyMap<types.HostId, schema.Host>
   readonly models: ReadonlyMap<types.ModelId, schema.Model>
@@ -18,37 +19,37 @@
   readonly limits: schema.Limits
 }
 
-function mapOf<Id extends string, Value> (values: Readonly<Record<Id, Value>>): ReadonlyMap<Id, Value> {
+function toMap<Id extends string, Value> (values: Readonly<Record<Id, Value>>): ReadonlyMap<Id, Value> {
   return new Map(Object.entries(values) as [Id, Value][])
 }
 
-function recordOf<Id extends string, Value> (values: ReadonlyMap<Id, Value>): Record<Id, Value> {
+function toRecord<Id extends string, Value> (values: ReadonlyMap<Id, Value>): Record<Id, Value> {
   return Object.fromEntries(values) as Record<Id, Value>
 }
 
-/** The configuration that a checked document stands for. */
+/** Converts a valid document to a configuration. */
 export function fromDocument (document: schema.ConfigDocument): Config {
   return {
-    hosts: mapOf(document.hosts),
-    models: mapOf(document.models),
-    services: mapOf(document.services),
-    clients: mapOf(document.clients),
-    kinds: mapOf(document.kinds),
+    hosts: toMap(document.hosts),
+    models: toMap(document.models),
+    services: toMap(document.services),
+    clients: toMap(document.clients),
+    kinds: toMap(document.kinds),
     limits: document.limits
   }
 }
 
-/** The document of a configuration, with every default written out. */
+/** Converts a configuration to a document in which every default is written out. */
 export function toDocument (config: Config): schema.ConfigDocument {
   return {
-    hosts: recordOf(config.hosts),
-    models: recordOf(config.models),
-    services: recordOf(config.services),
-    clients: recordOf(config.clients),
-    kinds: recordOf(config.kinds),
+    hosts: toRecord(config.hosts),
+    models: toRecord(config.models),
+    services: toRecord(config.services),
+    clients: toRecord(config.clients),
+    kinds: toRecord(config.kinds),
     limits: config.limits
   }
 }
 
-/** What is in force before the first change: no host, no client, and the default limits. */
+/** The configuration before the first change: no hosts, no clients, default limits. */
 export const emptyConfig: Config = fromDocument(schema.documentShape.parse({}))
--- a/packages/state/config-state/src/index.ts
+++ b/packages/state/config-state/src/index.ts
@@ -1,4 +1,4 @@
-/** The published configuration: its schema and the pure fold over its change records. */
+/** The published configuration: its schema, and a pure fold over its change records. */
 export * from './schema.js'
 export * from './config.js'
 export * from './check.js'
--- a/packages/state/config-state/src/snapshot.ts
+++ b/packages/state/config-state/src/snapshot.ts
@@ -1,4 +1,4 @@
-/** A whole configuration as one process hands it to another. */
+/** Snapshot of a configuration that one process sends to another. */
 import * as errors from '@eelgrasswind/errors'
 import * as parseSettings from '@eelgrasswind/parse-settings'
 import type * as types from '@eelgrasswind/types'
@@ -7,33 +7,33 @@
 import * as check from './check.js'
 import * as config from './config.js'
 
-/** A configuration that was in force, and how far the stream had been read. */
+/** A configuration in force, and the position in the stream up to which it holds. */
 export interface ConfigSnapshot {
   readonly version: types.ConfigVersion
   readonly config: config.Config
-  /** Every record below this offset has been taken into account. */
+  /** The configuration reflects every record below this offset. */
   readonly asOf: types.LogOffset
-  /** Log time of the oldest record from which a new reader can still start; null where unknown. */
+  /** Log time of the oldest record from which a new reader can still start; null if unknown. */
   readonly copiedAt: types.EpochMs | null
 }
 
-const wholeNumber = z.number().int().min(0)
+const nonNegativeInteger = z.number().int().min(0)
 
 const snapshotSchema = z.strictObject({
   format: z.literal(change.configFormat),
-  version: wholeNumber,
-  asOf: wholeNumber,
+  version: nonNegativeInteger,
+  asOf: nonNegativeInteger,
   copiedAt: z.number().nullable(),
   document: check.documentSchema
 })
 
-/** A snapshot as a JSON document, for a peer that asks. */
+/** Converts a snapshot to a JSON document for a peer. */
 export function toSnapshotDocument (snapshot: ConfigSnapshot): unknown {
   const { version, asOf, copiedAt } = snapshot
   return { format: change.configFormat, version, asOf, copiedAt, document: config.toDocument(snapshot.config) }
 }
 
-/** Reads the document that a peer sent. */
+/** Parses a snapshot document of a peer. */
 export function parseSnapshot (document: unknown): errors.Result<ConfigSnapshot, readonly parseSettings.FieldError[]> {
   const parsed = parseSettings.parseValue(document, snapshotSchema)
   if (!parsed.ok) return parsed
--- a/packages/state/follow-config/src/config-follower.ts
+++ b/packages/state/follow-config/src/config-follower.ts
@@ -206,7 +206,7 @@
     const { copies, timers, log } = this.settings
     const now = timers.now() as types.EpochMs
     if (copies === undefined || now - this.lastCopyAt < copyRetryMs) return
-    if (!configState.needsCopy(this.state, now) || !copies.isCopyWriter()) return
+    if (!configState.isCopyDue(this.state, now) || !copies.isCopyWriter()) return
     this.lastCopyAt = now
     const id = crypto.randomUUID() as string as configState.ChangeId
     const copy = configState.makeCopy(this.state, { id, by: copies.author, at: now })
