--- a/packages/state/follow-config/src/config-follower.ts
+++ b/packages/state/follow-config/src/config-follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration in force of one process: from the stream, and from peers while the log is down. */
+/** Keeps the configuration in force of one process up to date: from the stream, and from peers while the log is unavailable. */
 import * as crypto from 'node:crypto'
 import * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
@@ -7,64 +7,68 @@
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** What a peer answers: a document that `toPeerConfig` made, and its version. */
+/** Answer of a peer: a document made by `toPeerConfig`, and its version. */
 export interface PeerConfig {
   readonly version: types.ConfigVersion
   readonly config: unknown
 }
 
-/** Who writes copies of the configuration before its records expire. */
+/** Settings for writing copies of the configuration before its records expire. */
 export interface CopySettings {
-  /** Name in the records. */
+  /** Author named in the records. */
   readonly author: string
-  /** Whether this process writes them now; one process of the fleet should, more do no harm. */
+  /** Whether this process should write copies now; one process of the fleet should, and several do no harm. */
   readonly isCopyWriter: () => boolean
 }
 
+/** Settings and dependencies of a follower. */
 export interface ConfigFollowerSettings {
   readonly log: logClient.LogClient
   readonly timers: timerService.TimerService
   readonly logger: logger.Logger
-  /** How often the stream is read, in milliseconds. */
+  /** Poll interval of the stream, in ms. */
   readonly pollMs?: number
-  /** Asks a few peers for a configuration newer than a version; null where none has one. */
-  readonly fetchFromPeers?: (have: types.ConfigVersion) => Promise<PeerConfig | null>
+  /** Fetches a configuration newer than the given version from a few peers; null if none has one. */
+  readonly fetchFromPeers?: (knownVersion: types.ConfigVersion) => Promise<PeerConfig | null>
+  /** Without it, the process writes no copies. */
   readonly copies?: CopySettings
 }
 
-export type ConfigListener = (inForce: configState.ConfigSnapshot) => void
+/** Called with each new version in force. */
+export type ConfigListener = (snapshot: configState.ConfigSnapshot) => void
 
+/** Follows the configuration stream. */
 export interface ConfigFollower {
-  /** The configuration in force, or undefined before the first. */
+  /** The configuration in force, or undefined if none is known yet. */
   current: () => configState.ConfigSnapshot | undefined
-  /** Why the version in force may be behind, or null. */
+  /** Why the known version may be outdated, or null if it is current. */
   gap: () => configState.GapCause | null
-  /** Calls with every new version from now on. */
+  /** Calls the listener with every new version from now on. */
   subscribe: (listener: ConfigListener) => timerService.Subscription
-  /** Resolves once a configuration is in force. */
+  /** Resolves once a configuration is known. */
   waitForFirst: () => Promise<configState.ConfigSnapshot>
-  /** Reads the stream now, as when an answer of a peer names a higher version. */
+  /** Reads the stream now, for example because a peer's answer names a higher version. */
   poll: () => Promise<void>
   close: () => void
 }
 
 export const defaultPollMs = 1000
-const pageRecords = 500
-/** Least time between two attempts to write a copy. */
-const copyRetryMs = 30_000
+const maxPageRecords = 500
+/** Minimum interval between two attempts to write a copy, in ms. */
+const copyRetryDelayMs = 30_000
 
 class StreamFollower implements ConfigFollower {
   private state = configState.initialState
   private readonly listeners = new Set<ConfigListener>()
-  private readonly ticks: timerService.Subscription
-  private closed = false
-  private reading: Promise<void> | undefined
-  private asking = false
-  private lastCopyAt = -Infinity
-  private failing = false
+  private readonly pollTimer: timerService.Subscription
+  private isClosed = false
+  private pendingRead: Promise<void> | undefined
+  private isAskingPeers = false
+  private lastCopyAtMs = -Infinity
+  private isFailing = false
 
   constructor (private readonly settings: ConfigFollowerSettings) {
-    this.ticks = settings.timers.every(settings.pollMs ?? defaultPollMs, () => this.tick())
+    this.pollTimer = settings.timers.every(settings.pollMs ?? defaultPollMs, () => this.tick())
     void this.poll()
     void this.askPeers()
   }
@@ -83,64 +87,64 @@
   }
 
   waitForFirst (): Promise<configState.ConfigSnapshot> {
-    const known = this.current()
-    if (known !== undefined) return Promise.resolve(known)
+    const current = this.current()
+    if (current !== undefined) return Promise.resolve(current)
     return new Promise((resolve) => {
-      const subscription = this.subscribe((inForce) => {
+      const subscription = this.subscribe((snapshot) => {
         subscription.cancel()
-        resolve(inForce)
+        resolve(snapshot)
       })
     })
   }
 
   poll (): Promise<void> {
-    this.reading ??= this.readStream().finally(() => { this.reading = undefined })
-    return this.reading
+    this.pendingRead ??= this.readStream().finally(() => { this.pendingRead = undefined })
+    return this.pendingRead
   }
 
   close (): void {
-    this.closed = true
-    this.ticks.cancel()
+    this.isClosed = true
+    this.pollTimer.cancel()
     this.listeners.clear()
   }
 
   private tick (): void {
-    // A read that is still open after a whole period may be an outage of the log.
-    if (this.reading !== undefined || this.state.gap !== null) void this.askPeers()
+    // A read still in flight after a whole poll interval may indicate an outage of the log.
+    if (this.pendingRead !== undefined || this.state.gap !== null) void this.askPeers()
     void this.poll()
   }
 
   private async readStream (): Promise<void> {
     for (;;) {
-      const page = await this.settings.log.read(configState.configStream, configState.nextOffset(this.state), { limit: pageRecords })
-      if (this.closed) return
-      if (!page.ok) return this.noteFailure(page.failure)
-      this.failing = false
-      const before = configState.nextOffset(this.state)
+      const page = await this.settings.log.read(configState.configStream, configState.nextOffset(this.state), { limit: maxPageRecords })
+      if (this.isClosed) return
+      if (!page.ok) return this.handleReadFailure(page.failure)
+      this.isFailing = false
+      const offsetBefore = configState.nextOffset(this.state)
       this.applyPage(page.value)
-      const now = configState.nextOffset(this.state)
-      if (now >= page.value.next) break
-      if (now === before) return
+      const offsetAfter = configState.nextOffset(this.state)
+      if (offsetAfter >= page.value.next) break
+      if (offsetAfter === offsetBefore) return
     }
     await this.copyIfDue()
   }
 
-  private noteFailure (failure: errors.Failure): void {
-    if (!this.failing) this.settings.logger.warn({ failure }, 'configuration stream not read; asking peers')
-    this.failing = true
+  private handleReadFailure (failure: errors.Failure): void {
+    if (!this.isFailing) this.settings.logger.warn({ failure }, 'failed to read the configuration stream; asking peers')
+    this.isFailing = true
     void this.askPeers()
   }
 
   private applyPage (page: logClient.LogPage): void {
     const next = configState.nextOffset(this.state)
     if (page.first > next) {
-      this.settings.logger.error({ from: next, first: page.first }, 'configuration records have expired unread; a copy or a peer is needed')
-      this.replace(configState.skipExpired(this.state, page.first))
+      this.settings.logger.error({ from: next, first: page.first }, 'configuration records expired before they were read; waiting for a copy or a snapshot of a peer')
+      this.setState(configState.skipExpired(this.state, page.first))
     }
     for (const record of page.records) {
       const { state, effect } = configState.applyRecord(this.state, record)
       this.logEffect(record, effect)
-      this.replace(state)
+      this.setState(state)
     }
   }
 
@@ -148,80 +152,80 @@
     const log = this.settings.logger
     const { offset } = record
     switch (effect.type) {
-      case 'accepted': return log.info({ offset, version: effect.version }, 'configuration accepted')
+      case 'accepted': return log.info({ offset, version: effect.version }, 'configuration change accepted')
       case 'rejected': return log.warn({ offset, reason: effect.reason, detail: effect.detail }, 'configuration record rejected')
-      case 'republished': return log.debug({ offset, version: effect.version }, 'configuration copied')
+      case 'republished': return log.debug({ offset, version: effect.version }, 'copy of the configuration in force read')
       case 'restored': return log.info({ offset, version: effect.version }, 'configuration restored from a copy')
-      case 'unknownFormat': return log.error({ offset, format: effect.format }, 'configuration record of a newer format; this process must be updated')
-      case 'pending': return log.debug({ offset }, 'configuration record waits for a copy')
+      case 'unknownFormat': return log.error({ offset, format: effect.format }, 'configuration record has a newer format; upgrade this process')
+      case 'pending': return log.debug({ offset }, 'configuration record is pending until a copy is read')
       case 'repeated':
       case 'ahead': return
       default: errors.unreachable(effect)
     }
   }
 
-  private replace (state: configState.ConfigState): void {
+  private setState (state: configState.ConfigState): void {
     const isNewer = state.version > this.state.version
     this.state = state
     if (!isNewer) return
     for (const listener of [...this.listeners]) this.notify(listener, state)
   }
 
-  private notify (listener: ConfigListener, inForce: configState.ConfigSnapshot): void {
+  private notify (listener: ConfigListener, snapshot: configState.ConfigSnapshot): void {
     try {
-      listener(inForce)
+      listener(snapshot)
     } catch (err) {
-      this.settings.logger.error({ err, version: inForce.version }, 'listener of the configuration failed')
+      this.settings.logger.error({ err, version: snapshot.version }, 'configuration listener failed')
     }
   }
 
   private async askPeers (): Promise<void> {
     const { fetchFromPeers } = this.settings
-    if (fetchFromPeers === undefined || this.asking || this.closed) return
-    this.asking = true
-    // At a gap a peer with the same version helps as well.
-    const have = (this.state.gap === null ? this.state.version : Math.max(0, this.state.version - 1)) as types.ConfigVersion
+    if (fetchFromPeers === undefined || this.isAskingPeers || this.isClosed) return
+    this.isAskingPeers = true
+    // At a gap, a peer with the same version can close it too.
+    const knownVersion = (this.state.gap === null ? this.state.version : Math.max(0, this.state.version - 1)) as types.ConfigVersion
     try {
-      const answer = await fetchFromPeers(have)
-      if (answer !== null && !this.closed) this.adopt(answer)
+      const answer = await fetchFromPeers(knownVersion)
+      if (answer !== null && !this.isClosed) this.adoptPeerConfig(answer)
     } catch (err) {
-      this.settings.logger.warn({ err }, 'peers not asked for the configuration')
+      this.settings.logger.warn({ err }, 'failed to fetch the configuration from peers')
     } finally {
-      this.asking = false
+      this.isAskingPeers = false
     }
   }
 
-  private adopt (answer: PeerConfig): void {
+  private adoptPeerConfig (answer: PeerConfig): void {
     const snapshot = configState.parseSnapshot(answer.config)
     if (!snapshot.ok) {
-      this.settings.logger.error({ version: answer.version, errors: snapshot.failure }, 'configuration of a peer not understood')
+      this.settings.logger.error({ version: answer.version, errors: snapshot.failure }, 'invalid configuration snapshot from a peer')
       return
     }
     const adopted = configState.adoptSnapshot(this.state, snapshot.value)
-    if (adopted.version > this.state.version) this.settings.logger.info({ version: adopted.version }, 'configuration taken over from a peer')
-    this.replace(adopted)
+    if (adopted.version > this.state.version) this.settings.logger.info({ version: adopted.version }, 'configuration adopted from a peer')
+    this.setState(adopted)
   }
 
   private async copyIfDue (): Promise<void> {
     const { copies, timers, log } = this.settings
     const now = timers.now() as types.EpochMs
-    if (copies === undefined || now - this.lastCopyAt < copyRetryMs) return
+    if (copies === undefined || now - this.lastCopyAtMs < copyRetryDelayMs) return
     if (!configState.isCopyDue(this.state, now) || !copies.isCopyWriter()) return
-    this.lastCopyAt = now
+    this.lastCopyAtMs = now
     const id = crypto.randomUUID() as string as configState.ChangeId
     const copy = configState.makeCopy(this.state, { id, by: copies.author, at: now })
-    // An append of unknown fate shows when the stream is read; until then the copy stays due.
+    // If the outcome of the append is unknown, the next read of the stream shows it; until then the copy stays due.
     const appended = await log.append(configState.configStream, configState.encodeChange(copy))
-    if (!appended.ok) this.settings.logger.warn({ failure: appended.failure }, 'copy of the configuration not confirmed')
+    if (!appended.ok) this.settings.logger.warn({ failure: appended.failure }, 'append of a configuration copy was not confirmed')
   }
 }
 
-/** Starts to follow the stream at once. */
+/** Creates a follower and starts to read the stream at once. */
 export function createConfigFollower (settings: ConfigFollowerSettings): ConfigFollower {
   return new StreamFollower(settings)
 }
 
-/** The document that a peer may take over; what `fetchFromPeers` gives to the other side. */
-export function toPeerConfig (inForce: configState.ConfigSnapshot): unknown {
-  return configState.toSnapshotDocument(inForce)
+/** Converts a configuration to the document that peers receive from `fetchFromPeers`. */
+export function toPeerConfig (snapshot: configState.ConfigSnapshot): unknown {
+  return configState.toSnapshotDocument(snapshot)
 }
