--- a/packages/state/follow-config/src/config-follower.ts
+++ b/packages/state/follow-config/src/config-follower.ts
@@ -1,4 +1,7 @@
-/** Keeps the configuration in force of one process up to date: from the stream, and from peers while the log is unavailable. */
+/**
+ * Keeps the configuration in force of one process up to date: from the stream, and from peers while the log is
+ * unavailable.
+ */
 import * as crypto from 'node:crypto'
 import * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
--- a/packages/state/own-shards/src/owned-shard.ts
+++ b/packages/state/own-shards/src/owned-shard.ts
@@ -12,7 +12,7 @@
   | 'opening'
   /** Accepts new turns. */
   | 'serving'
-  /** Accepts no new turns and waits for its pending appends. */
+  /** Accepts no new turns; turns in flight may still end, and pending appends may still complete. */
   | 'closing'
   /** Not owned any more: fenced, handed over or closed. */
   | 'lost'
@@ -51,7 +51,7 @@
 
   /** Resolves when the shard serves, is lost or turns out to be unreadable. */
   async open (): Promise<void> {
-    const startedAt = this.ports.timers.monotonic()
+    const startedAtMs = this.ports.timers.monotonic()
     const fencing = await this.writer.open()
     if (fencing.type === 'lost') return
     const recordCount = await this.loadLedger()
@@ -60,7 +60,7 @@
     const activation = await this.commit(this.ledger.activateAllowance(this.ports.timers.now() as types.EpochMs))
     if (this.currentState !== 'opening' || activation.type === 'lost') return
     this.currentState = 'serving'
-    const tookMs = Math.round(this.ports.timers.monotonic() - startedAt)
+    const tookMs = Math.round(this.ports.timers.monotonic() - startedAtMs)
     this.ports.decisions.note({ event: 'shardOpened', partition: this.partition, epoch: this.epoch, records: recordCount, tookMs })
   }
 
@@ -71,7 +71,10 @@
     return outcome
   }
 
-  /** Confirms with the store that this process still owns the shard: if it does, a turn missing from the ledger doesn't exist. */
+  /**
+   * Confirms with the store that this process still owns the shard: if it does, a turn missing from the ledger doesn't
+   * exist.
+   */
   confirmOwnership (): Promise<shardWriter.CommitOutcome> {
     return this.writer.commit([])
   }
--- a/packages/state/own-shards/src/ownership.test.ts
+++ b/packages/state/own-shards/src/ownership.test.ts
@@ -1,4 +1,7 @@
-/** Property test of shard ownership: under random crashes, evictions and store faults, every acknowledged turn is known to each later owner of its shard. */
+/**
+ * Property test of shard ownership: under random crashes, evictions and store faults, every acknowledged turn is known
+ * to each later owner of its shard.
+ */
 import * as assert from 'node:assert/strict'
 import tap from 'tap'
 import * as fc from 'fast-check'
@@ -83,7 +86,10 @@
     }
   }
 
-  /** Runs a turn at every process that believes it serves the program; a turn counts as acknowledged only if the store accepted its appends. */
+  /**
+   * Runs a turn at every process that believes it serves the program; a turn counts as acknowledged only if the store
+   * accepted its appends.
+   */
   private runTurn (program: types.ProgramId): void {
     for (const owner of this.owners) {
       const location = owner?.locate(owner.getPartition(program))
--- a/packages/state/own-shards/src/shard-owner.ts
+++ b/packages/state/own-shards/src/shard-owner.ts
@@ -1,4 +1,7 @@
-/** Membership of this process in the group that shares the shards: its lease, its own shards, and the owners of the others. */
+/**
+ * Membership of this process in the group that shares the shards: its lease, its own shards, and the owners of the
+ * others.
+ */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as types from '@eelgrasswind/types'
 import * as shardLog from '@eelgrasswind/shard-log'
@@ -9,7 +12,10 @@
 /** The group, this process's name in it, and its timing. */
 export interface ShardOwnerSettings {
   readonly group: string
-  /** Name of this process in the group; stable over restarts, so that a process that restarts within its lease keeps its shards. */
+  /**
+   * Name of this process in the group; stable over restarts, so that a process that restarts within its lease keeps its
+   * shards.
+   */
   readonly member: string
   readonly topics: readonly string[]
   /** Number of partitions of each topic. */
@@ -26,7 +32,10 @@
 
 /** Dependencies of a shard owner. */
 export interface ShardOwnerPorts {
-  /** Called when shards have become free; the other members should be notified, so that they don't wait for their next heartbeat. */
+  /**
+   * Called when shards have become free; the other members should be notified, so that they don't wait for their next
+   * heartbeat.
+   */
   readonly onShardsReleased: () => void
   readonly log: shardLog.ShardLog
   readonly timers: timerService.TimerService
@@ -101,6 +110,7 @@
     return { topic: topics[Math.floor(index / partitionsPerTopic)]!, part: index % partitionsPerTopic }
   }
 
+  /** Where a shard is served, as far as this process knows. */
   locate (partition: shardLog.Partition): ShardLocation {
     const name = shardLog.partitionName(partition)
     const shard = this.ownedShards.get(name)
@@ -207,7 +217,10 @@
     void this.join()
   }
 
-  /** Refuses new turns, hands every shard over and leaves the group. Turns still in flight end here and are settled with the next owners. */
+  /**
+   * Refuses new turns, hands every shard over and leaves the group. Turns still in flight end here and are settled with
+   * the next owners.
+   */
   private async handOverAll (): Promise<void> {
     await Promise.all([...this.ownedShards.values()].map((shard) => shard.handOver(this.settings.handoverTimeoutMs)))
     this.ownedShards.clear()
@@ -236,7 +249,10 @@
     await this.applyAssignment(answer)
   }
 
-  /** Opens newly assigned shards and hands over revoked ones; the next join reports this generation to the group as applied. */
+  /**
+   * Opens newly assigned shards and hands over revoked ones; the next join reports this generation to the group as
+   * applied.
+   */
   private async applyAssignment (assignment: shardLog.Assignment): Promise<void> {
     const assigned = new Map(assignment.partitions.map((partition) => [shardLog.partitionName(partition), partition]))
     const revoked = [...this.ownedShards].filter(([name]) => !assigned.has(name))
@@ -271,7 +287,10 @@
     void shard.open()
   }
 
-  /** Epochs increase with the generation and, within one, with time, so that a restarted process fences its own former instance. */
+  /**
+   * Epochs increase with the generation and, within one, with time, so that a restarted process fences its own former
+   * instance.
+   */
   private computeEpoch (generation: number): number {
     const step = Math.floor(this.ports.timers.now() / epochStepMs) + this.epochOffset
     return generation * epochsPerGeneration + step % epochsPerGeneration
--- a/packages/state/own-shards/src/shard-writer.ts
+++ b/packages/state/own-shards/src/shard-writer.ts
@@ -1,4 +1,7 @@
-/** Appends the records of one shard in batches: one append is in flight at a time, commits made meanwhile form the next batch. */
+/**
+ * Appends the records of one shard in batches: one append is in flight at a time, commits made meanwhile form the next
+ * batch.
+ */
 import type * as decisionLog from '@eelgrasswind/decision-log'
 import type * as shardLog from '@eelgrasswind/shard-log'
 import * as timerService from '@eelgrasswind/timer-service'
@@ -6,7 +9,10 @@
 /** Whether the records of a commit are durable. */
 export type CommitOutcome =
   | { readonly type: 'committed' }
-  /** This process no longer owns the shard, after a takeover or because the writer was closed: the records count as not stored. */
+  /**
+   * This process no longer owns the shard, after a takeover or because the writer was closed: the records count as not
+   * stored.
+   */
   | { readonly type: 'lost' }
 
 /** Dependencies of a writer. */
--- a/packages/state/relay-store/src/relayed-log.ts
+++ b/packages/state/relay-store/src/relayed-log.ts
@@ -21,7 +21,10 @@
 
 /** Maximum number of peers tried for one call: if the store refuses a third of the hosts, 1 call in 27 fails at all 3. */
 const maxPeersPerCall = 3
-/** Time without relay attempts after the store and every tried peer failed, in ms: the store most likely serves no host then. */
+/**
+ * Time without relay attempts after the store and every tried peer failed, in ms: the store most likely serves no host
+ * then.
+ */
 const outageBackoffMs = 300
 
 /** Provides a shard log that works as long as the store serves this process or one of its peers. */
@@ -81,7 +84,10 @@
   }
 }
 
-/** Whether a call tries the store directly even while calls are relayed: `owners` is made every second and nothing waits for it. */
+/**
+ * Whether a call tries the store directly even while calls are relayed: `owners` is made every second and nothing waits
+ * for it.
+ */
 function isProbe (call: shardLog.StoreCall): boolean {
   return call.type === 'owners'
 }
--- a/packages/state/share-load/src/load-message.ts
+++ b/packages/state/share-load/src/load-message.ts
@@ -1,4 +1,7 @@
-/** Datagram in which a process reports its requests in flight at each upstream, and the requests that failed or were slow there. */
+/**
+ * Datagram in which a process reports its requests in flight at each upstream, and the requests that failed or were
+ * slow there.
+ */
 import * as msgpack from '@msgpack/msgpack'
 import type * as trackUpstreams from '@eelgrasswind/track-upstreams'
 import type * as types from '@eelgrasswind/types'
@@ -18,7 +21,10 @@
 
 /** Version of the message layout; messages of other versions are rejected, so that two releases can run side by side. */
 const layoutVersion = 1
-/** Maximum number of upstreams and marks in one datagram: at about 20 bytes each, it stays below 1,400 bytes and is not fragmented. */
+/**
+ * Maximum number of upstreams and marks in one datagram: at about 20 bytes each, it stays below 1,400 bytes and is not
+ * fragmented.
+ */
 const maxEntries = 50
 
 /** Encodes a message. If it has too many entries, the upstreams with the smallest counts are left out. */
--- a/packages/state/turn-ledger/src/records.ts
+++ b/packages/state/turn-ledger/src/records.ts
@@ -1,4 +1,7 @@
-/** Keyed records of a ledger, encoded as MessagePack: one for each kept turn, one for each program, and the shard's allowance. */
+/**
+ * Keyed records of a ledger, encoded as MessagePack: one for each kept turn, one for each program, and the shard's
+ * allowance.
+ */
 import * as msgpack from '@msgpack/msgpack'
 import type * as types from '@eelgrasswind/types'
 
@@ -34,7 +37,10 @@
 
 /** Whether the owner of a shard may let programs without a record use their allowance. */
 export interface AllowanceRecord {
-  /** Set while an owner serves: if that owner ends without a handover, programs without a record may have used their allowance. */
+  /**
+   * Set while an owner serves: if that owner ends without a handover, programs without a record may have used their
+   * allowance.
+   */
   readonly isActive: boolean
   /** When an owner last took the shard over without a handover, ms since the epoch; 0: never. */
   readonly takenOverAt: types.EpochMs
--- a/packages/state/turn-ledger/src/turn-ledger.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.ts
@@ -241,12 +241,18 @@
     }
   }
 
-  /** Must be called once after all records are loaded: stored retention times are those of each turn alone, without later turns of its chain. */
+  /**
+   * Must be called once after all records are loaded: stored retention times are those of each turn alone, without
+   * later turns of its chain.
+   */
   extendLoadedChains (): void {
     for (const state of [...this.turns.values()]) this.extendChainRetention(state.previous, state.keepUntil)
   }
 
-  /** Returns a turn of an account with its predecessors, newest first, for a program of another shard; `undefined` if not all are in this ledger. */
+  /**
+   * Returns a turn of an account with its predecessors, newest first, for a program of another shard; `undefined` if
+   * not all are in this ledger.
+   */
   exportChain (turn: records.TurnId, account: types.AccountId | undefined): StoredTurn[] | undefined {
     if (!this.canContinue(turn, account)) return undefined
     const chain: StoredTurn[] = []
