--- a/packages/state/config-state/src/fold.test.ts
+++ b/packages/state/config-state/src/fold.test.ts
@@ -128,12 +128,12 @@
 })
 
 tap.test('of two concurrent changes one is accepted and the other is rejected as stale', async (t) => {
-  const winner = foldRecords([encodeTestChange(0, { kinds: { k: kind } }, 'a')])
-  t.same(winner.effect, { type: 'accepted', version: 1 })
-  const loser = foldRecords([encodeTestChange(0, { kinds: { k: { ...kind, weight: 9 } } }, 'b')], winner.state)
-  t.same(loser.effect, { type: 'rejected', reason: 'stale', detail: 'based on version 0, but version 1 is in force' })
-  t.equal(loser.state.config, winner.state.config)
-  t.same(foldRecords([encodeTestChange(1, { kinds: { k: { ...kind, weight: 9 } } })], loser.state).effect, { type: 'accepted', version: 3 })
+  const acceptedResult = foldRecords([encodeTestChange(0, { kinds: { k: kind } }, 'a')])
+  t.same(acceptedResult.effect, { type: 'accepted', version: 1 })
+  const rejectedResult = foldRecords([encodeTestChange(0, { kinds: { k: { ...kind, weight: 9 } } }, 'b')], acceptedResult.state)
+  t.same(rejectedResult.effect, { type: 'rejected', reason: 'stale', detail: 'based on version 0, but version 1 is in force' })
+  t.equal(rejectedResult.state.config, acceptedResult.state.config)
+  t.same(foldRecords([encodeTestChange(1, { kinds: { k: { ...kind, weight: 9 } } })], rejectedResult.state).effect, { type: 'accepted', version: 3 })
 })
 
 tap.test('a change that would make the configuration invalid is rejected with every error', async (t) => {
--- a/packages/state/config-state/src/fold.ts
+++ b/packages/state/config-state/src/fold.ts
@@ -67,6 +67,7 @@
   /** Records before this one are missing; read from that offset. */
   | { readonly type: 'ahead', readonly expected: types.LogOffset }
 
+/** The new state of the reader, and the effect of the record. */
 export interface ApplyResult {
   readonly state: ConfigState
   readonly effect: Effect
--- a/packages/state/turn-ledger/src/turn-ledger.ts
+++ b/packages/state/turn-ledger/src/turn-ledger.ts
@@ -214,7 +214,7 @@
       writes.push({ key: records.turnKey(turn), value: undefined })
     }
     for (const [id, program] of this.programs) {
-      // Retention is longer than any turn, so a turn that is still open now was never settled by a former owner.
+      // Retention is longer than any turn: turns that are still open now were left unsettled by a former owner.
       if (program.keepUntil >= now) continue
       this.programs.delete(id)
       if (program.coverage.hasWrittenRecord) writes.push({ key: records.programKey(id), value: undefined })
