--- a/packages/base/decision-log/src/decision-log.test.ts
+++ b/packages/base/decision-log/src/decision-log.test.ts
@@ -10,7 +10,7 @@
   const stream = { write: (line: string) => lines.push(JSON.parse(line) as { event: string }) > 0 } as unknown as NodeJS.WritableStream
   const log = decisionLog.createDecisionLog({
     logger: loggers.createLogger({ name: 'test', host: 'front-1' as types.HostId, level: 'info', stream }),
-    count: ({ event }) => { counted.push(event) },
+    countDecision: ({ event }) => { counted.push(event) },
     now: () => now
   })
   return { lines, counted, log, advance: (ms: number) => { now += ms } }
@@ -21,23 +21,23 @@
 
 tap.test('a line has the request, the inputs and the outcome', (t) => {
   const { lines, log } = fixture()
-  log.note(sent('r1'))
+  log.record(sent('r1'))
   t.match(lines[0], { event: 'sent', request: 'r1', upstream: 'u', listAgeMs: 100, msg: 'sent to an upstream', host: 'front-1' })
   t.end()
 })
 
 tap.test('no field of a decision takes the place of one that every line has', (t) => {
   const { lines, log } = fixture()
-  log.note({ event: 'overLimit', request: 'r1', program: undefined, account: 'coaches' as types.AccountId, route: 'roster', part: 'first', by: 'owner', requestsLeft: -3, retryAfterMs: 200, version: 7 })
+  log.record({ event: 'overLimit', request: 'r1', program: undefined, account: 'coaches' as types.AccountId, route: 'roster', part: 'first', by: 'owner', requestsLeft: -3, retryAfterMs: 200, version: 7 })
   t.match(lines, [{ event: 'overLimit', level: 30, host: 'front-1', requestsLeft: -3, retryAfterMs: 200 }])
   t.end()
 })
 
 tap.test('a storm of ordinary lines is bounded, counted, and costs no failure its line', (t) => {
   const { lines, counted, log } = fixture()
-  for (let at = 0; at < 5_000; at += 1) log.note(sent(`r${at}`))
+  for (let at = 0; at < 5_000; at += 1) log.record(sent(`r${at}`))
   t.ok(lines.length <= 240)
-  log.note(broken('r-broken'))
+  log.record(broken('r-broken'))
   t.equal(lines.at(-1)?.event, 'streamBroken')
   t.same(lines.at(-2)?.counts, { sent: 4_760 })
   t.equal(counted.length, 5_001)
@@ -46,10 +46,10 @@
 
 tap.test('lines flow again at the rate of the budget', (t) => {
   const { lines, log, advance } = fixture()
-  for (let at = 0; at < 1_000; at += 1) log.note(sent('r'))
+  for (let at = 0; at < 1_000; at += 1) log.record(sent('r'))
   const before = lines.length
   advance(100)
-  for (let at = 0; at < 1_000; at += 1) log.note(sent('r'))
+  for (let at = 0; at < 1_000; at += 1) log.record(sent('r'))
   t.equal(lines.length - before, 6)
   t.end()
 })
@@ -62,10 +62,10 @@
 
 tap.test('metrics count outcomes and times', async (t) => {
   const metrics = decisionLog.createDecisionMetrics()
-  metrics.count({ event: 'ended', request: 'r', kind: 'turn', outcome: 'refused', status: 503, reason: 'storeAway', tookMs: 7 })
-  metrics.count(broken('r'))
-  metrics.storeCall('append', 'appended', 6)
-  const text = await metrics.text()
+  metrics.countDecision({ event: 'ended', request: 'r', kind: 'turn', outcome: 'refused', status: 503, reason: 'storeAway', tookMs: 7 })
+  metrics.countDecision(broken('r'))
+  metrics.observeStoreCall('append', 'appended', 6)
+  const text = await metrics.renderText()
   t.match(text, 'eelgrasswind_requests_total{kind="turn",outcome="refused",status="503"} 1')
   t.match(text, 'eelgrasswind_refusals_total{reason="answerLost"} 1')
   t.match(text, 'eelgrasswind_store_call_ms_bucket{le="10",call="append",outcome="appended"} 1')
--- a/packages/base/decision-log/src/decision-log.ts
+++ b/packages/base/decision-log/src/decision-log.ts
@@ -4,14 +4,14 @@
 
 /** Where parts of a process tell what they decided. */
 export interface DecisionLog {
-  readonly note: (decision: decisions.Decision) => void
+  readonly record: (decision: decisions.Decision) => void
 }
 
 /** What a decision log needs from its process. */
 export interface DecisionLogPorts {
   readonly logger: logger.Logger
   /** Counts every decision, also those that are not written. */
-  readonly count: (decision: decisions.Decision) => void
+  readonly countDecision: (decision: decisions.Decision) => void
   /** Monotonic ms. */
   readonly now: () => number
 }
@@ -32,7 +32,7 @@
   const left = new Map<decisions.DecisionEvent, number>()
 
   function note (decision: decisions.Decision): void {
-    ports.count(decision)
+    ports.countDecision(decision)
     const budget = isOrdinary(decision) ? everyday : important
     if (!budget.take()) {
       left.set(decision.event, (left.get(decision.event) ?? 0) + 1)
@@ -48,7 +48,7 @@
     left.clear()
   }
 
-  return { note }
+  return { record: note }
 }
 
 function isOrdinary (decision: decisions.Decision): boolean {
@@ -57,7 +57,7 @@
 
 /** For tests and tools that want none. */
 export function createSilentDecisionLog (): DecisionLog {
-  return { note: () => {} }
+  return { record: () => {} }
 }
 
 /** A token bucket of lines. */
--- a/packages/base/decision-log/src/decision-metrics.ts
+++ b/packages/base/decision-log/src/decision-metrics.ts
@@ -4,12 +4,12 @@
 
 /** The counters and histograms of one process. */
 export interface DecisionMetrics {
-  readonly count: (decision: decisions.Decision) => void
+  readonly countDecision: (decision: decisions.Decision) => void
   /** One call to the store. */
-  readonly storeCall: (call: string, outcome: string, tookMs: number) => void
+  readonly observeStoreCall: (call: string, outcome: string, tookMs: number) => void
   /** Values read when the page is asked for. */
-  readonly gauge: (name: string, help: string, read: () => number) => void
-  readonly text: () => Promise<string>
+  readonly registerGauge: (name: string, help: string, read: () => number) => void
+  readonly renderText: () => Promise<string>
   readonly contentType: string
 }
 
@@ -31,7 +31,7 @@
   const storeCalls = new prometheus.Histogram({ name: `${prefix}store_call_ms`, help: 'Calls to the store by call and outcome, ms.', labelNames: ['call', 'outcome'], buckets, registers })
 
   return {
-    count (decision) {
+    countDecision (decision) {
       events.inc({ event: decision.event })
       switch (decision.event) {
         case 'ended':
@@ -55,11 +55,11 @@
           break
       }
     },
-    storeCall: (call, outcome, tookMs) => { storeCalls.observe({ call, outcome }, tookMs) },
-    gauge (name, help, read) {
+    observeStoreCall: (call, outcome, tookMs) => { storeCalls.observe({ call, outcome }, tookMs) },
+    registerGauge (name, help, read) {
       const gauge: prometheus.Gauge = new prometheus.Gauge({ name: prefix + name, help, registers, collect: () => { gauge.set(read()) } })
     },
-    text: () => registry.metrics(),
+    renderText: () => registry.metrics(),
     contentType: registry.contentType
   }
 }
--- a/packages/base/errors/src/failure.ts
+++ b/packages/base/errors/src/failure.ts
@@ -57,24 +57,24 @@
 }
 
 /** The failure that something thrown stands for; what is unknown may have run. */
-export function failureFrom (err: unknown): Failure {
+export function toFailure (err: unknown): Failure {
   if (err instanceof FailureError) return err.failure
   const message = err instanceof Error ? err.message : String(err)
   return { tag: 'internal', verdict: 'mayHaveRun', message }
 }
 
 /** What two attempts at one request say together: the one that promises less. */
-export function worseVerdict (a: types.Verdict, b: types.Verdict): types.Verdict {
+export function combineVerdicts (a: types.Verdict, b: types.Verdict): types.Verdict {
   if (a === 'ran' || b === 'ran') return 'ran'
   return a === 'mayHaveRun' || b === 'mayHaveRun' ? 'mayHaveRun' : 'notRun'
 }
 
 /** Time to come back in milliseconds, where the failure names one. */
-export function retryAfterMs (failure: Failure): number | undefined {
+export function getRetryAfterMs (failure: Failure): number | undefined {
   return 'retryAfterMs' in failure ? failure.retryAfterMs : undefined
 }
 
 /** For the default branch of an exhaustive switch. */
-export function unreachable (value: never): never {
+export function assertNever (value: never): never {
   throw new Error(`unexpected value: ${JSON.stringify(value)}`)
 }
--- a/packages/base/errors/src/http-exchange.test.ts
+++ b/packages/base/errors/src/http-exchange.test.ts
@@ -8,14 +8,14 @@
 
 interface Started {
   readonly handler: httpExchange.ExchangeHandler
-  readonly end: Promise<httpExchange.ExchangeEnd>
+  readonly end: Promise<httpExchange.ExchangeOutcome>
   /** How often the exchange asked for the connection to be closed. */
   aborts: number
 }
 
 function start (req: Partial<httpExchange.ExchangeRequest> = {}): Started {
   const started = { aborts: 0 } as { -readonly [Name in keyof Started]: Started[Name] }
-  started.end = httpExchange.exchange({ requestId: 'r1', maxBytes: 10, ...req }, (handler) => { started.handler = handler })
+  started.end = httpExchange.runExchange({ requestId: 'r1', maxBytes: 10, ...req }, (handler) => { started.handler = handler })
   return started
 }
 
@@ -59,13 +59,13 @@
   const lost = new Error('lost')
   const unsent = start()
   unsent.handler.onError(lost)
-  t.equal(httpExchange.verdictOf(await unsent.end as httpExchange.BrokenEnd), 'notRun')
+  t.equal(httpExchange.getVerdict(await unsent.end as httpExchange.FailedOutcome), 'notRun')
   for (const [status, verdict] of [[undefined, 'mayHaveRun'], [500, 'mayHaveRun'], [200, 'ran']] as const) {
     const sent = start()
     connect(sent)
     if (status !== undefined) answer(sent, status)
     sent.handler.onError(lost)
-    t.equal(httpExchange.verdictOf(await sent.end as httpExchange.BrokenEnd), verdict)
+    t.equal(httpExchange.getVerdict(await sent.end as httpExchange.FailedOutcome), verdict)
   }
 })
 
@@ -77,5 +77,5 @@
     [{ 'retry-after': 'Wed, 21 Oct 2026 07:28:00 GMT' }, httpFailure.defaultRetryAfterMs],
     [{}, httpFailure.defaultRetryAfterMs]
   ] as const
-  for (const [headers, ms] of cases) t.equal(httpFailure.retryAfterOf(rawHeaders(headers)), ms)
+  for (const [headers, ms] of cases) t.equal(httpFailure.parseRetryAfterMs(rawHeaders(headers)), ms)
 })
--- a/packages/base/errors/src/http-exchange.ts
+++ b/packages/base/errors/src/http-exchange.ts
@@ -7,7 +7,7 @@
 /** Header names and values in turn, as they came. */
 export type RawHeaders = readonly Buffer[]
 
-export type ExchangeEnd =
+export type ExchangeOutcome =
   /** The whole answer, under the id of the request. */
   | { readonly type: 'answered', readonly status: number, readonly headers: RawHeaders, readonly body: Buffer }
   /** An answer that names another request or none. */
@@ -17,7 +17,7 @@
   | { readonly type: 'lost', readonly sent: boolean, readonly status: number | undefined, readonly message: string }
   /** Given up by the asker. */
   | { readonly type: 'aborted', readonly sent: boolean, readonly status: number | undefined, readonly reason: unknown }
-export type BrokenEnd = Exclude<ExchangeEnd, { type: 'answered' }>
+export type FailedOutcome = Exclude<ExchangeOutcome, { type: 'answered' }>
 
 /** Reason of an abort by the time limit of the exchange. */
 export class ExchangeTimeout extends Error {
@@ -65,7 +65,7 @@
 const empty = Buffer.alloc(0)
 
 /** The value of a header, or undefined. */
-export function headerOf (headers: RawHeaders, name: string): string | undefined {
+export function getHeader (headers: RawHeaders, name: string): string | undefined {
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const key = headers[i]!
     if (key.length === name.length && key.toString('latin1').toLowerCase() === name) return headers[i + 1]!.toString('latin1')
@@ -78,7 +78,7 @@
 }
 
 /** Whether the request of a broken exchange may have run. */
-export function verdictOf (end: BrokenEnd): types.Verdict {
+export function getVerdict (end: FailedOutcome): types.Verdict {
   switch (end.type) {
     case 'foreign':
       return 'mayHaveRun'
@@ -100,7 +100,7 @@
   private abortRequest: ((err?: Error) => void) | undefined
   private timer: { cancel: () => void } | undefined
 
-  constructor (private readonly req: ExchangeRequest, private readonly resolve: (end: ExchangeEnd) => void) {
+  constructor (private readonly req: ExchangeRequest, private readonly resolve: (end: ExchangeOutcome) => void) {
     const { timeout, signal } = req
     if (timeout !== undefined) this.timer = timeout.after(timeout.ms, () => this.abort(new ExchangeTimeout(timeout.ms)))
     if (signal === undefined) return
@@ -121,7 +121,7 @@
 
   onHeaders (status: number, headers: Buffer[]): boolean {
     if (this.ended || status < 200) return true
-    if (headerOf(headers, 'x-request-id') !== this.req.requestId) {
+    if (getHeader(headers, 'x-request-id') !== this.req.requestId) {
       this.end({ type: 'foreign', status })
       this.drop()
       return true
@@ -177,7 +177,7 @@
     this.end({ type: 'answered', status: this.status ?? 0, headers: this.headers, body })
   }
 
-  private end (end: ExchangeEnd): void {
+  private end (end: ExchangeOutcome): void {
     if (this.ended) return
     this.ended = true
     this.timer?.cancel()
@@ -187,7 +187,7 @@
 }
 
 /** Runs one request; `dispatch` hands the callbacks to undici. Never rejects. */
-export function exchange (req: ExchangeRequest, dispatch: (handler: ExchangeHandler) => void): Promise<ExchangeEnd> {
+export function runExchange (req: ExchangeRequest, dispatch: (handler: ExchangeHandler) => void): Promise<ExchangeOutcome> {
   return new Promise((resolve) => {
     const handler = new Exchange(req, resolve)
     if (!handler.isEnded) dispatch(handler)
--- a/packages/base/errors/src/http-failure.ts
+++ b/packages/base/errors/src/http-failure.ts
@@ -11,15 +11,15 @@
 }
 
 /** Time to come back in milliseconds: `retry-after-ms`, or `retry-after` in seconds. */
-export function retryAfterOf (headers: httpExchange.RawHeaders): number {
-  const exact = Number(httpExchange.headerOf(headers, 'retry-after-ms') ?? NaN)
+export function parseRetryAfterMs (headers: httpExchange.RawHeaders): number {
+  const exact = Number(httpExchange.getHeader(headers, 'retry-after-ms') ?? NaN)
   if (Number.isFinite(exact) && exact >= 0) return exact
-  const seconds = Number(httpExchange.headerOf(headers, 'retry-after') ?? NaN)
+  const seconds = Number(httpExchange.getHeader(headers, 'retry-after') ?? NaN)
   return Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : defaultRetryAfterMs
 }
 
 /** What a broken exchange came to, in words. */
-export function describeEnd (end: httpExchange.BrokenEnd): string {
+export function describeOutcome (end: httpExchange.FailedOutcome): string {
   switch (end.type) {
     case 'foreign':
       return 'the answer does not carry the id of the request'
@@ -38,9 +38,9 @@
 }
 
 /** The failure of a broken request to an upstream. */
-export function upstreamFailure (end: httpExchange.BrokenEnd): failures.Failure {
-  const verdict = httpExchange.verdictOf(end)
-  const message = describeEnd(end)
+export function toUpstreamFailure (end: httpExchange.FailedOutcome): failures.Failure {
+  const verdict = httpExchange.getVerdict(end)
+  const message = describeOutcome(end)
   if (end.type === 'aborted') {
     const afterMs = afterMsOf(end.reason)
     return afterMs === undefined ? { tag: 'cancelled', verdict, message } : { tag: 'timeout', verdict, message, afterMs }
@@ -50,6 +50,6 @@
 }
 
 /** The failure of a request that an upstream refused by status. */
-export function upstreamRefusal (status: number, headers: httpExchange.RawHeaders): failures.Failure {
-  return { tag: 'upstreamUnavailable', verdict: 'notRun', message: `refused with ${status}`, retryAfterMs: retryAfterOf(headers) }
+export function toUpstreamRefusal (status: number, headers: httpExchange.RawHeaders): failures.Failure {
+  return { tag: 'upstreamUnavailable', verdict: 'notRun', message: `refused with ${status}`, retryAfterMs: parseRetryAfterMs(headers) }
 }
--- a/packages/base/logger/src/bounded-lines.test.ts
+++ b/packages/base/logger/src/bounded-lines.test.ts
@@ -9,27 +9,27 @@
 tap.test('lines arrive whole and in order', async (t) => {
   const file = path.join(fs.mkdtempSync(path.join(os.tmpdir(), 'lines-')), 'out')
   const fd = fs.openSync(file, 'w')
-  const lines = boundedLines.createBoundedLines(fd)
+  const lines = boundedLines.createBoundedLineWriter(fd)
   const expected = Array.from({ length: 2_000 }, (_, at) => `line ${at}\n`)
   for (const line of expected) lines.write(line)
   await lines.flush()
   fs.closeSync(fd)
   t.equal(fs.readFileSync(file, 'utf8'), expected.join(''))
-  t.equal(lines.dropped(), 0)
+  t.equal(lines.getDroppedCount(), 0)
 })
 
 tap.test('a reader that never reads holds nothing up and costs lines', async (t) => {
   const module = url.fileURLToPath(new URL('./bounded-lines.js', import.meta.url))
   const script = `
-    import { createBoundedLines } from ${JSON.stringify(module)}
-    const lines = createBoundedLines(process.stdout.fd, 100_000)
+    import { createBoundedLineWriter } from ${JSON.stringify(module)}
+    const lines = createBoundedLineWriter(process.stdout.fd, 100_000)
     let turns = 0
     const timer = setInterval(() => {
       for (let at = 0; at < 100; at += 1) lines.write('x'.repeat(99) + '\\n')
       turns += 1
       if (turns < 120) return
       clearInterval(timer)
-      process.stderr.write(String(lines.dropped()), () => process.exit(0))
+      process.stderr.write(String(lines.getDroppedCount()), () => process.exit(0))
     }, 5)
   `
   const child = childProcess.spawn(process.execPath, ['--input-type=module', '-e', script], { stdio: ['ignore', 'pipe', 'pipe'] })
--- a/packages/base/logger/src/bounded-lines.ts
+++ b/packages/base/logger/src/bounded-lines.ts
@@ -1,11 +1,11 @@
 /** Writes lines to a file descriptor without ever waiting for its reader. */
 import * as fs from 'node:fs'
 
-export interface BoundedLines {
+export interface BoundedLineWriter {
   /** Takes a line; drops it where too much is waiting already. */
   readonly write: (line: string) => void
   /** Lines that were dropped since the start. */
-  readonly dropped: () => number
+  readonly getDroppedCount: () => number
   /** Resolves when all that waits is written, or cannot be. */
   readonly flush: () => Promise<void>
 }
@@ -23,7 +23,7 @@
  * A reader that stops reading costs lines; the next line that is written tells how many. The descriptor is one that the
  * runtime has opened, such as `process.stdout.fd`: a blocking pipe that nobody reads would hold the process at its exit.
  */
-export function createBoundedLines (fd: number, maxBytes = defaultMaxBytes): BoundedLines {
+export function createBoundedLineWriter (fd: number, maxBytes = defaultMaxBytes): BoundedLineWriter {
   let waiting: string[] = []
   let waitingBytes = 0
   let writing = false
@@ -84,7 +84,7 @@
 
   return {
     write,
-    dropped: () => droppedLines,
+    getDroppedCount: () => droppedLines,
     flush () {
       if (!writing) return Promise.resolve()
       const done = new Promise<void>((resolve) => { idle.push(resolve) })
--- a/packages/base/parse-settings/src/field-errors.ts
+++ b/packages/base/parse-settings/src/field-errors.ts
@@ -10,7 +10,7 @@
 const maxFoundLength = 60
 
 /** A value as a message shows it. */
-export function formatFound (value: unknown): string {
+export function formatFoundValue (value: unknown): string {
   if (value === undefined) return 'nothing'
   const text = JSON.stringify(value) ?? String(value)
   return text.length <= maxFoundLength ? text : `${text.slice(0, maxFoundLength)}…`
@@ -74,15 +74,15 @@
     case 'invalid_element': return issue.issues.map(expectedOf).join(' and ')
     case 'invalid_value': return formatValues(issue.values)
     case 'custom': return issue.message
-    default: return errors.unreachable(issue)
+    default: return errors.assertNever(issue)
   }
 }
 
 function foundOf (issue: Issue, value: unknown): string {
   if (issue.code === 'custom' && typeof issue.params?.['found'] === 'string') return issue.params['found']
-  if (issue.code === 'invalid_key') return `the name ${formatFound(issue.path.at(-1))}`
+  if (issue.code === 'invalid_key') return `the name ${formatFoundValue(issue.path.at(-1))}`
   if ((issue.code === 'too_big' || issue.code === 'too_small') && Array.isArray(value)) return `${value.length}${sizeUnit('array', value.length)}`
-  return formatFound(value)
+  return formatFoundValue(value)
 }
 
 function unknownFields (issue: Extract<Issue, { code: 'unrecognized_keys' }>, path: settingsError.FieldPath, schema: jsonSchema.JsonSchema, input: unknown): settingsError.FieldError[] {
--- a/packages/base/parse-settings/src/parse-settings.ts
+++ b/packages/base/parse-settings/src/parse-settings.ts
@@ -57,7 +57,7 @@
       ...locate(err.offset),
       field: '',
       expected: syntaxExpected[jsonc.printParseErrorCode(err.error)],
-      found: piece === '' ? 'the end of the file' : fieldErrors.formatFound(piece)
+      found: piece === '' ? 'the end of the file' : fieldErrors.formatFoundValue(piece)
     }
   })
 }
--- a/packages/base/process-signals/src/process-signals.ts
+++ b/packages/base/process-signals/src/process-signals.ts
@@ -3,16 +3,16 @@
 
 export interface SignalHandlers {
   /** Ends the process gracefully. Called once, however many signals come. */
-  readonly end: (signal: states.HandledSignal) => void
+  readonly onShutdown: (signal: states.HandledSignal) => void
   /** Reads the settings again. */
-  readonly reload: () => void
+  readonly onReload: () => void
   /** Another signal came while the process was ending. */
-  readonly ignored: (signal: states.HandledSignal) => void
+  readonly onIgnored: (signal: states.HandledSignal) => void
 }
 
 export interface ProcessSignals {
   /** Call once, when the program has something to lose; tells of a reload that was asked for before. */
-  readonly handle: (handlers: SignalHandlers) => void
+  readonly setHandlers: (handlers: SignalHandlers) => void
 }
 
 const signals: readonly states.HandledSignal[] = ['SIGTERM', 'SIGINT', 'SIGHUP']
@@ -30,15 +30,15 @@
     switch (action.type) {
       case 'none': return
       case 'exit': return process.exit()
-      case 'end': return handlers?.end(signal)
-      case 'reload': return handlers?.reload()
-      case 'ignore': return handlers?.ignored(signal)
+      case 'end': return handlers?.onShutdown(signal)
+      case 'reload': return handlers?.onReload()
+      case 'ignore': return handlers?.onIgnored(signal)
     }
   }
 
   for (const signal of signals) process.on(signal, () => { take(states.onSignal(state, signal), signal) })
   return {
-    handle (given) {
+    setHandlers (given) {
       handlers = given
       take(states.onStarted(state), 'SIGHUP')
     }
--- a/packages/base/timer-service/src/manual-timers.ts
+++ b/packages/base/timer-service/src/manual-timers.ts
@@ -14,7 +14,7 @@
   /** As advance, but lets pending promises settle after each timer. */
   advanceAsync: (ms: number) => Promise<void>
   /** Due time of the next timer, or undefined. */
-  nextDue: () => number | undefined
+  getNextDueMs: () => number | undefined
 }
 
 /** Lets promise callbacks that are already due run. */
@@ -120,5 +120,5 @@
     return heap[0]?.due
   }
 
-  return { now: () => time, monotonic: () => time, after, every, advance, advanceAsync, nextDue }
+  return { now: () => time, monotonic: () => time, after, every, advance, advanceAsync, getNextDueMs: nextDue }
 }
--- a/packages/base/timer-service/src/timer-service.ts
+++ b/packages/base/timer-service/src/timer-service.ts
@@ -22,7 +22,7 @@
 }
 
 /** The result, or `undefined` where it takes longer than the time given, in ms. */
-export async function within<T> (timers: TimerService, result: Promise<T>, limitMs: number): Promise<T | undefined> {
+export async function withTimeout<T> (timers: TimerService, result: Promise<T>, limitMs: number): Promise<T | undefined> {
   let limit: Subscription | undefined
   const late = new Promise<undefined>((resolve) => { limit = timers.after(limitMs, () => { resolve(undefined) }) })
   try {
--- a/packages/base/types/src/journal.ts
+++ b/packages/base/types/src/journal.ts
@@ -114,11 +114,11 @@
 export const maxBatchRecords = 4096
 
 /** A record's place in its stream: log offset and index in the batch, as one ordered number. */
-export function positionOf (offset: ids.LogOffset, index: number): ids.Term {
+export function toPosition (offset: ids.LogOffset, index: number): ids.Term {
   return (offset * maxBatchRecords + index + 1) as ids.Term
 }
 
 /** The log offset of a position. */
-export function offsetOf (position: ids.Term): ids.LogOffset {
+export function toOffset (position: ids.Term): ids.LogOffset {
   return Math.floor((position - 1) / maxBatchRecords) as ids.LogOffset
 }
--- a/packages/base/types/src/wire.ts
+++ b/packages/base/types/src/wire.ts
@@ -5,7 +5,7 @@
 import type * as program from './program.js'
 
 /** Where an answer is produced; each time it comes, the text so far is void and starts again. */
-export interface Placed {
+export interface Placement {
   readonly upstream: ids.UpstreamId
   readonly host: ids.HostId
 }
@@ -27,7 +27,7 @@
 export interface CallSink {
   /** The receiver needs the whole answer only: no deltas are sent to it. */
   readonly wholeOnly?: boolean
-  readonly onPlaced: (placed: Placed) => void
+  readonly onPlaced: (placed: Placement) => void
   readonly onDelta: (text: string) => void
 }
 
@@ -122,7 +122,7 @@
 export type LimitName = 'calls' | 'starts'
 
 /** An entry asks the owner of a client's limit for a share of it. */
-export interface ShareWish {
+export interface ShareRequest {
   readonly client: ids.ClientId
   readonly limit: LimitName
   readonly holder: ids.HostId
--- a/packages/decide/admit-program/src/decide-admission.ts
+++ b/packages/decide/admit-program/src/decide-admission.ts
@@ -84,7 +84,7 @@
     case 'none': return { type: 'admit', reason: { type: 'rule' } }
     case 'queueBound': return applyQueueBound(rule, input)
     case 'inTime': return decideByLikelihood(rule, input)
-    default: return errors.unreachable(rule)
+    default: return errors.assertNever(rule)
   }
 }
 
--- a/packages/decide/choose-home/src/home-chooser.ts
+++ b/packages/decide/choose-home/src/home-chooser.ts
@@ -37,7 +37,7 @@
     case 'journalShard': return `shard:${task.shard}`
     case 'configCopy': return `config:${task.round}`
     case 'loadReporter': return `reporter:${task.availabilityZone}`
-    default: return errors.unreachable(task)
+    default: return errors.assertNever(task)
   }
 }
 
--- a/packages/decide/decide-retry/src/decide-retry.test.ts
+++ b/packages/decide/decide-retry/src/decide-retry.test.ts
@@ -83,7 +83,7 @@
     if (decision.type === 'giveUp') return true
     return input.programBudget.retriesLeft >= 1 && input.processBudget.retriesLeft >= 1 &&
       input.attempt < decideRetry.defaultRetrySettings.maxAttempts && input.now + decision.afterMs < input.deadline &&
-      decision.afterMs >= (errors.retryAfterMs(input.failure) ?? 0)
+      decision.afterMs >= (errors.getRetryAfterMs(input.failure) ?? 0)
   }), { seed: 2, numRuns: 5_000 })
 })
 
--- a/packages/decide/decide-retry/src/decide-retry.ts
+++ b/packages/decide/decide-retry/src/decide-retry.ts
@@ -72,7 +72,7 @@
 function computeBackoffMs (input: RetryInput, settings: RetrySettings): number {
   const maxBackoffMs = Math.min(settings.maxWaitMs, settings.firstWaitMs * 2 ** (input.attempt - 1))
   const backoffMs = maxBackoffMs / 2 + input.random() * maxBackoffMs / 2
-  return Math.round((errors.retryAfterMs(input.failure) ?? 0) + backoffMs)
+  return Math.round((errors.getRetryAfterMs(input.failure) ?? 0) + backoffMs)
 }
 
 /** Whether another attempt, possibly at another upstream, may succeed. */
@@ -114,6 +114,6 @@
     case 'upstreamFailed':
       return failure.status >= 500
     default:
-      return errors.unreachable(failure)
+      return errors.assertNever(failure)
   }
 }
--- a/packages/decide/limit-client/src/client-limit.ts
+++ b/packages/decide/limit-client/src/client-limit.ts
@@ -19,7 +19,7 @@
   switch (name) {
     case 'calls': return createLimit(configured.callsPerSecond, callBurstSeconds)
     case 'starts': return createLimit(configured.startsPerMinute / secondsPerMinute, startBurstSeconds)
-    default: return errors.unreachable(name)
+    default: return errors.assertNever(name)
   }
 }
 
--- a/packages/decide/order-queue/src/order-queue.ts
+++ b/packages/decide/order-queue/src/order-queue.ts
@@ -121,7 +121,7 @@
     case 'earliestDeadline': return call.deadline
     case 'leastAttained': return call.attainedTokens
     case 'weightedSlack': return call.deadline - call.expectedRemainingMs - rule.weightMs * Math.log2(call.weight)
-    default: return errors.unreachable(rule)
+    default: return errors.assertNever(rule)
   }
 }
 
@@ -139,6 +139,6 @@
       const slackMs = orderRule.computeSlackMs(call, now)
       return { type: rule.lateLast && slackMs < 0 ? 'late' : 'leastSlack', slackMs, weight: call.weight }
     }
-    default: return errors.unreachable(rule)
+    default: return errors.assertNever(rule)
   }
 }
--- a/packages/decide/place-call/src/place-call.ts
+++ b/packages/decide/place-call/src/place-call.ts
@@ -25,7 +25,7 @@
       return createPlacement(findCheapest(two, estimateRelativeCost), { type: 'betterOfTwo' }, two)
     }
     case 'homeFirst': return placeByCost(rule, input, usable)
-    default: return errors.unreachable(rule)
+    default: return errors.assertNever(rule)
   }
 }
 
--- a/packages/decide/retain-prefix/src/decide-hold.ts
+++ b/packages/decide/retain-prefix/src/decide-hold.ts
@@ -56,7 +56,7 @@
     case 'never': return { holdMs: 0, reason: { type: 'rule' } }
     case 'fixed': return { holdMs: Math.min(rule.holdMs, input.leftMs), reason: { type: 'rule' } }
     case 'learnt': return decideLearntHold(rule, input)
-    default: return errors.unreachable(rule)
+    default: return errors.assertNever(rule)
   }
 }
 
--- a/packages/operate/cli/src/base/format-difference.ts
+++ b/packages/operate/cli/src/base/format-difference.ts
@@ -27,7 +27,7 @@
     case 'added': return [`+ ${parseSettings.formatPath(path)}: ${JSON.stringify(difference.to)}`]
     case 'changed': return changedFields(path, difference.from, difference.to)
     case 'removed': return [`- ${parseSettings.formatPath(path)}`]
-    default: return errors.unreachable(difference)
+    default: return errors.assertNever(difference)
   }
 }
 
--- a/packages/operate/cli/src/base/outcome.ts
+++ b/packages/operate/cli/src/base/outcome.ts
@@ -33,7 +33,7 @@
     case 'notFound': return exitCodes.exitCode.refused
     case 'unavailable': return exitCodes.exitCode.unavailable
     case 'unknownFate': return exitCodes.exitCode.unknown
-    default: return errors.unreachable(failure)
+    default: return errors.assertNever(failure)
   }
 }
 
@@ -46,6 +46,6 @@
     case 'refused': return `refused: ${failure.message}`
     case 'unavailable': return `${failure.part} not available: ${failure.message}`
     case 'unknownFate': return `not known whether the change was accepted: ${failure.message}`
-    default: return errors.unreachable(failure)
+    default: return errors.assertNever(failure)
   }
 }
--- a/packages/operate/cli/src/cli.test.ts
+++ b/packages/operate/cli/src/cli.test.ts
@@ -231,11 +231,11 @@
   const server = await sidecarClient.startPeerServer({
     bindAddress: '127.0.0.1',
     port: 0,
-    sender: () => ({ host, incarnation: 'i1', leaving: false, configVersion: fake.version }) as unknown as types.Sender,
+    getSender: () => ({ host, incarnation: 'i1', leaving: false, configVersion: fake.version }) as unknown as types.Sender,
     process: {
-      status: async () => { note(); return errors.ok(status()) },
+      getStatus: async () => { note(); return errors.ok(status()) },
       getConfig: async () => errors.ok(null),
-      loads: async () => errors.ok([]),
+      getLoads: async () => errors.ok([]),
       explain: async (program, key) => errors.ok({ program, key, decisions: knows(program) ? decisions : [] })
     },
     home: {
--- a/packages/operate/cli/src/commands/config-check/check.ts
+++ b/packages/operate/cli/src/commands/config-check/check.ts
@@ -18,7 +18,7 @@
   switch (kind) {
     case 'config': return configState.documentSchema
     case 'operator': return operatorSettings.operatorSettings
-    default: return errors.unreachable(kind)
+    default: return errors.assertNever(kind)
   }
 }
 
--- a/packages/operate/cli/src/commands/config-publish/call.ts
+++ b/packages/operate/cli/src/commands/config-publish/call.ts
@@ -36,7 +36,7 @@
     case 'judged': return versionOf(stream, result.fate)
     case 'notSent': return errors.fail(openConfig.logFailure(result.failure))
     case 'unknown': return errors.fail({ tag: 'unknownFate', message: `${result.failure.message}; publishing the same file again is safe`, change: change.id })
-    default: return errors.unreachable(result)
+    default: return errors.assertNever(result)
   }
 }
 
--- a/packages/operate/cli/src/commands/config-publish/wait-for-hosts.ts
+++ b/packages/operate/cli/src/commands/config-publish/wait-for-hosts.ts
@@ -27,7 +27,7 @@
   const until = timers.monotonic() + limitMs
   const result = await askHosts.withHosts<HostsInForce>(settings, timers, async (hosts) => {
     for (;;) {
-      const answers = await hosts.askAll((peer) => peer.status())
+      const answers = await hosts.askAll((peer) => peer.getStatus())
       if (!answers.ok) return answers
       const found = split(answers.value, version)
       if (found.missing.length === 0 || timers.monotonic() + lookMs > until) return errors.ok(found)
--- a/packages/operate/cli/src/commands/programs-list/call.ts
+++ b/packages/operate/cli/src/commands/programs-list/call.ts
@@ -14,7 +14,7 @@
     case 'running':
     case 'finished': return summary.state === state
     case 'late': return summary.state === 'running' && summary.deadline < now
-    default: return errors.unreachable(state)
+    default: return errors.assertNever(state)
   }
 }
 
--- a/packages/operate/cli/src/commands/programs-show/call.ts
+++ b/packages/operate/cli/src/commands/programs-show/call.ts
@@ -15,7 +15,7 @@
   switch (target.type) {
     case 'model': return target.model
     case 'service': return `${target.service} ${target.path}`
-    default: return errors.unreachable(target)
+    default: return errors.assertNever(target)
   }
 }
 
@@ -24,7 +24,7 @@
     case 'message': return found.finishReason
     case 'service': return String(found.status)
     case 'failed': return `${found.tag} (${found.verdict})`
-    default: return errors.unreachable(found)
+    default: return errors.assertNever(found)
   }
 }
 
--- a/packages/operate/cli/src/commands/status/call.ts
+++ b/packages/operate/cli/src/commands/status/call.ts
@@ -39,7 +39,7 @@
 
 export function showStatus (settings: operatorSettings.OperatorSettings, timers: timerService.TimerService): Promise<outcome.CliResult> {
   return askHosts.withHosts<outcome.Outcome>(settings, timers, async (hosts) => {
-    const answers = await hosts.askAll((peer) => peer.status())
+    const answers = await hosts.askAll((peer) => peer.getStatus())
     if (!answers.ok) return answers
     const statuses = askHosts.answered(answers.value)
     if (!statuses.ok) return statuses
--- a/packages/operate/cli/src/platform/ask-hosts.ts
+++ b/packages/operate/cli/src/platform/ask-hosts.ts
@@ -33,7 +33,7 @@
 
   constructor (private readonly list: hostListClient.HostListClient, timeoutMs: number) {
     const ignore = (): void => {}
-    this.pool = sidecarClient.createPeerPool({ timeoutMs, pingIntervalMs: pingMs, pingTimeoutMs: pingMs, onSender: ignore, onBroken: ignore })
+    this.pool = sidecarClient.createPeerPool({ timeoutMs, pingIntervalMs: pingMs, pingTimeoutMs: pingMs, onSenderReceived: ignore, onUnavailable: ignore })
   }
 
   /** Asks every host of a role, or every host, and gives their answers in the order of their ids. */
--- a/packages/operate/cli/src/platform/open-config.ts
+++ b/packages/operate/cli/src/platform/open-config.ts
@@ -15,7 +15,7 @@
   switch (cause) {
     case 'expired': return { tag: 'unavailable', part: 'log', message: 'records of the configuration have expired and no copy was written in time; ask the running hosts by status' }
     case 'unknownFormat': return { tag: 'refused', message: 'the stream holds a record of a newer format; update this command', versionInForce: 0 }
-    default: return errors.unreachable(cause)
+    default: return errors.assertNever(cause)
   }
 }
 
--- a/packages/operate/cli/src/platform/publish-change.ts
+++ b/packages/operate/cli/src/platform/publish-change.ts
@@ -41,7 +41,7 @@
   let mayBeThere = false
   let isThere = false
   for (;;) {
-    const appended: errors.Result<logClient.LogAppended> | undefined = isThere ? undefined : await log.append(configState.configStream, data)
+    const appended: errors.Result<logClient.AppendResult> | undefined = isThere ? undefined : await log.append(configState.configStream, data)
     isThere ||= appended?.ok === true
     mayBeThere ||= isThere || (appended?.ok === false && appended.failure.verdict !== 'notRun')
     const read = mayBeThere ? await stream.read() : undefined
--- a/packages/operate/load/src/commands/run/run.test.ts
+++ b/packages/operate/load/src/commands/run/run.test.ts
@@ -64,7 +64,7 @@
       },
       finish: async () => ({ ok: true, value: { summary: program, history: null } }),
       read: async () => ({ ok: true, value: { summary: program, history: [] } }),
-      maxBodyBytes: () => 1_000_000
+      getMaxBodyBytes: () => 1_000_000
     }
   })
   t.teardown(() => server.close())
--- a/packages/operate/load/src/drive/program-driver.ts
+++ b/packages/operate/load/src/drive/program-driver.ts
@@ -108,7 +108,7 @@
     return failure
   }
 
-  private async callModel (place: callerClient.CallPlace, call: plan.PlannedCall & { type: 'model' }): Promise<Failure | null> {
+  private async callModel (place: callerClient.CallMetadata, call: plan.PlannedCall & { type: 'model' }): Promise<Failure | null> {
     const { model } = this.settings
     const messages = [{ role: 'user', content: promptText(this.program, place.key, call.addedTokens) }]
     const result = await this.send(async (caller) => await caller.complete(this.program, { model, messages, maxTokens: call.maxTokens }, { ...place, idempotent: true }))
@@ -118,7 +118,7 @@
     return null
   }
 
-  private async callService (place: callerClient.CallPlace, call: plan.PlannedCall & { type: 'service' }): Promise<Failure | null> {
+  private async callService (place: callerClient.CallMetadata, call: plan.PlannedCall & { type: 'service' }): Promise<Failure | null> {
     const fullPlace = { ...place, idempotent: call.idempotent, ...(call.timeoutMs === null ? {} : { timeoutMs: call.timeoutMs }) }
     const ask = (): Promise<callerClient.CallerResult<callerClient.ServiceReply>> =>
       this.send(async (caller) => await caller.callService(this.program, this.settings.service, call.path, { program: this.program }, fullPlace))
@@ -169,5 +169,5 @@
 /** The same key must give the same answer. */
 function compareAnswers (first: callerClient.ServiceReply, second: callerClient.CallerResult<callerClient.ServiceReply>): records.AskedAgain {
   if (!second.ok) return 'failed'
-  return second.value.seal.repeated && second.value.seal.sha256 === first.seal.sha256 ? 'answeredFromHistory' : 'ranAgain'
+  return second.value.trailer.repeated && second.value.trailer.sha256 === first.trailer.sha256 ? 'answeredFromHistory' : 'ranAgain'
 }
--- a/packages/operate/load/src/measure/program-pool.ts
+++ b/packages/operate/load/src/measure/program-pool.ts
@@ -3,7 +3,7 @@
 
 export interface CallSlot {
   readonly program: string
-  readonly place: callerClient.CallPlace
+  readonly place: callerClient.CallMetadata
 }
 
 /** Calls of one program, each in a branch of its own, so that its prompt stays short. */
--- a/packages/peers/caller-client/src/answers.ts
+++ b/packages/peers/caller-client/src/answers.ts
@@ -16,7 +16,7 @@
   | { readonly ok: false, readonly failure: CallerFailure }
 
 /** What closes a whole answer. */
-export interface AnswerSeal {
+export interface AnswerTrailer {
   readonly key: string
   readonly branch: string
   readonly seq: number
@@ -33,7 +33,7 @@
   readonly promptTokens: number
   readonly cachedTokens: number
   readonly generatedTokens: number
-  readonly seal: AnswerSeal
+  readonly trailer: AnswerTrailer
   /** From sending the request to the first piece of text, in milliseconds. */
   readonly firstTextMs: number
   readonly totalMs: number
@@ -42,7 +42,7 @@
 export interface ServiceReply {
   readonly status: number
   readonly body: unknown
-  readonly seal: AnswerSeal
+  readonly trailer: AnswerTrailer
   readonly totalMs: number
 }
 
--- a/packages/peers/caller-client/src/caller-client.ts
+++ b/packages/peers/caller-client/src/caller-client.ts
@@ -13,7 +13,7 @@
   readonly connections?: number
 }
 
-export interface CallPlace {
+export interface CallMetadata {
   readonly key: string
   readonly seq: number
   readonly branch?: string
@@ -46,7 +46,7 @@
 interface CompletionBody {
   readonly choices: readonly { readonly delta?: { readonly content?: string }, readonly message?: { readonly content?: string }, readonly finish_reason?: string | null }[]
   readonly usage?: { readonly prompt_tokens: number, readonly completion_tokens: number, readonly prompt_tokens_details?: { readonly cached_tokens?: number } }
-  readonly eelgrasswind?: answers.AnswerSeal
+  readonly eelgrasswind?: answers.AnswerTrailer
   readonly error?: Omit<answers.CallerFailure, 'status'>
 }
 
@@ -79,21 +79,21 @@
     return result.ok ? { ok: true, value: result.value.program } : result
   }
 
-  async history (program: string): Promise<answers.CallerResult<answers.ProgramHistory>> {
+  async readHistory (program: string): Promise<answers.CallerResult<answers.ProgramHistory>> {
     return await this.askJson<answers.ProgramHistory>('GET', `/v1/programs/${program}/history`)
   }
 
-  async callService (program: string, service: string, path: string, body: unknown, place: CallPlace): Promise<answers.CallerResult<answers.ServiceReply>> {
+  async callService (program: string, service: string, path: string, body: unknown, place: CallMetadata): Promise<answers.CallerResult<answers.ServiceReply>> {
     const startedAt = performance.now()
-    const result = await this.askJson<{ status: number, body: unknown, eelgrasswind: answers.AnswerSeal }>('POST', `/v1/programs/${program}/services/${service}${path}`, { body, eelgrasswind: place })
+    const result = await this.askJson<{ status: number, body: unknown, eelgrasswind: answers.AnswerTrailer }>('POST', `/v1/programs/${program}/services/${service}${path}`, { body, eelgrasswind: place })
     if (!result.ok) return result
-    const { status, body: replied, eelgrasswind: seal } = result.value
+    const { status, body: replied, eelgrasswind: trailer } = result.value
     const text = JSON.stringify(replied ?? null)
-    if (!isWhole(text, seal)) return broken('the answer does not match its length and digest')
-    return { ok: true, value: { status, body: replied, seal, totalMs: performance.now() - startedAt } }
+    if (!isWhole(text, trailer)) return broken('the answer does not match its length and digest')
+    return { ok: true, value: { status, body: replied, trailer, totalMs: performance.now() - startedAt } }
   }
 
-  async complete (program: string, options: CompletionOptions, place: CallPlace): Promise<answers.CallerResult<answers.Completion>> {
+  async complete (program: string, options: CompletionOptions, place: CallMetadata): Promise<answers.CallerResult<answers.Completion>> {
     const { model, messages, maxTokens, stream = true } = options
     const body = { model, messages, stream, ...(maxTokens === undefined ? {} : { max_tokens: maxTokens }), eelgrasswind: place }
     const startedAt = performance.now()
@@ -132,8 +132,8 @@
   return { ok: false, failure: { status: raw.status, ...error } }
 }
 
-function isWhole (text: string, seal: answers.AnswerSeal): boolean {
-  return text.length === seal.length && crypto.createHash('sha256').update(text).digest('hex') === seal.sha256
+function isWhole (text: string, trailer: answers.AnswerTrailer): boolean {
+  return text.length === trailer.length && crypto.createHash('sha256').update(text).digest('hex') === trailer.sha256
 }
 
 async function readWhole (raw: RawAnswer, startedAt: number): Promise<answers.CallerResult<answers.Completion>> {
@@ -177,8 +177,8 @@
 }
 
 function completionOf (text: string, finishReason: string, body: CompletionBody, firstTextMs: number, totalMs: number): answers.CallerResult<answers.Completion> {
-  const seal = body.eelgrasswind
-  if (seal === undefined || !isWhole(text, seal)) return broken('the answer does not match its length and digest')
+  const trailer = body.eelgrasswind
+  if (trailer === undefined || !isWhole(text, trailer)) return broken('the answer does not match its length and digest')
   return {
     ok: true,
     value: {
@@ -187,7 +187,7 @@
       promptTokens: body.usage?.prompt_tokens ?? 0,
       cachedTokens: body.usage?.prompt_tokens_details?.cached_tokens ?? 0,
       generatedTokens: body.usage?.completion_tokens ?? 0,
-      seal,
+      trailer,
       firstTextMs,
       totalMs
     }
--- a/packages/peers/caller-server/src/answer-writer.ts
+++ b/packages/peers/caller-server/src/answer-writer.ts
@@ -27,9 +27,9 @@
 }
 
 export function writeFailure (res: http.ServerResponse, failure: errors.Failure): void {
-  const seconds = errorBody.retryAfterSeconds(failure)
+  const seconds = errorBody.toRetryAfterSeconds(failure)
   if (seconds !== undefined) res.setHeader('retry-after', seconds)
-  writeJson(res, errorBody.statusOf(failure), errorBody.errorBody(failure))
+  writeJson(res, errorBody.toHttpStatus(failure), errorBody.errorBody(failure))
 }
 
 /** The text that an outcome stands for: what its length and digest are taken over. */
@@ -38,7 +38,7 @@
     case 'message': return typeof outcome.message.content === 'string' ? outcome.message.content : JSON.stringify(outcome.message.content ?? null)
     case 'service': return JSON.stringify(outcome.body ?? null)
     case 'failed': return outcome.message
-    default: return errors.unreachable(outcome)
+    default: return errors.assertNever(outcome)
   }
 }
 
--- a/packages/peers/caller-server/src/caller-handlers.ts
+++ b/packages/peers/caller-server/src/caller-handlers.ts
@@ -16,5 +16,5 @@
   finish: (program: types.ProgramId, client: types.ClientId, result: types.FinishResult, ctx: types.RequestContext) => Promise<errors.Result<types.ProgramDocument>>
   read: (program: types.ProgramId, client: types.ClientId, history: boolean) => Promise<errors.Result<types.ProgramDocument>>
   /** Largest request body, in bytes. */
-  maxBodyBytes: () => number
+  getMaxBodyBytes: () => number
 }
--- a/packages/peers/caller-server/src/caller-server.test.ts
+++ b/packages/peers/caller-server/src/caller-server.test.ts
@@ -38,7 +38,7 @@
     call: async (req) => { seen.calls.push(req); return { ok: true, value: end } },
     finish: async () => ({ ok: true, value: { summary, history: null } }),
     read: async () => ({ ok: true, value: { summary, history: [] } }),
-    maxBodyBytes: () => 2_000,
+    getMaxBodyBytes: () => 2_000,
     ...behind
   }
   const server = await servers.startCallerServer({ bindAddress: '127.0.0.1', port: 0, handlers: all, logger: log })
@@ -172,6 +172,6 @@
 })
 
 tap.test('every failure has a status', async (t) => {
-  t.equal(errorBody.statusOf({ tag: 'sealed', verdict: 'notRun', message: '' }), 409)
-  t.equal(errorBody.retryAfterSeconds({ tag: 'internal', verdict: 'mayHaveRun', message: '' }), undefined)
+  t.equal(errorBody.toHttpStatus({ tag: 'sealed', verdict: 'notRun', message: '' }), 409)
+  t.equal(errorBody.toRetryAfterSeconds({ tag: 'internal', verdict: 'mayHaveRun', message: '' }), undefined)
 })
--- a/packages/peers/caller-server/src/caller-server.ts
+++ b/packages/peers/caller-server/src/caller-server.ts
@@ -88,7 +88,7 @@
     serve(req, res).catch((err: unknown) => {
       settings.logger.error({ err }, 'request failed')
       if (res.headersSent) res.destroy()
-      else answers.writeFailure(res, errors.failureFrom(err))
+      else answers.writeFailure(res, errors.toFailure(err))
     })
   })
 
@@ -113,14 +113,14 @@
   async function serveProgram (route: Exclude<Route, { type: 'health' }>, client: types.ClientId, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const of = { program: route.program, client }
     if (route.type === 'read') return writeProgram(res, await behind.read(of.program, client, route.history), 200)
-    const body = await readBody.readJson(req, behind.maxBodyBytes())
+    const body = await readBody.readJson(req, behind.getMaxBodyBytes())
     if (!body.ok) return answers.writeFailure(res, body.failure)
     switch (route.type) {
       case 'start': return await serveStart(of, body.value, req, res)
       case 'finish': return await serveFinish(of, body.value, req, res)
       case 'completion': return await serveCompletion(of, body.value, req, res)
       case 'service': return await serveService(of, route, body.value, req, res)
-      default: return errors.unreachable(route)
+      default: return errors.assertNever(route)
     }
   }
 
--- a/packages/peers/caller-server/src/error-body.ts
+++ b/packages/peers/caller-server/src/error-body.ts
@@ -20,18 +20,18 @@
       message: failure.message,
       verdict: failure.verdict,
       field: 'field' in failure ? failure.field : null,
-      retryAfterMs: errors.retryAfterMs(failure) ?? null
+      retryAfterMs: errors.getRetryAfterMs(failure) ?? null
     }
   }
 }
 
 /** Seconds for the Retry-After header, rounded up. */
-export function retryAfterSeconds (failure: errors.Failure): number | undefined {
-  const ms = errors.retryAfterMs(failure)
+export function toRetryAfterSeconds (failure: errors.Failure): number | undefined {
+  const ms = errors.getRetryAfterMs(failure)
   return ms === undefined ? undefined : Math.max(1, Math.ceil(ms / 1000))
 }
 
-export function statusOf (failure: errors.Failure): number {
+export function toHttpStatus (failure: errors.Failure): number {
   switch (failure.tag) {
     case 'invalidRequest': return 400
     case 'unauthorized': return 401
@@ -61,6 +61,6 @@
     case 'shuttingDown':
     case 'cancelled': return 503
     case 'timeout': return 504
-    default: return errors.unreachable(failure)
+    default: return errors.assertNever(failure)
   }
 }
--- a/packages/peers/caller-server/src/parse-request.ts
+++ b/packages/peers/caller-server/src/parse-request.ts
@@ -31,7 +31,7 @@
     case 'seq':
     case 'timeoutMs': return Number(text)
     case 'idempotent': return text === 'true' ? true : text === 'false' ? false : text
-    default: return errors.unreachable(name)
+    default: return errors.assertNever(name)
   }
 }
 
--- a/packages/peers/engine-client/src/create-engine-client.ts
+++ b/packages/peers/engine-client/src/create-engine-client.ts
@@ -18,7 +18,7 @@
 type Method = 'GET' | 'POST' | 'DELETE'
 
 function statusFailure (status: number, headers: errors.RawHeaders): errors.Failure {
-  if (errors.isRefusal(status)) return errors.upstreamRefusal(status, headers)
+  if (errors.isRefusal(status)) return errors.toUpstreamRefusal(status, headers)
   const verdict = refusedUnrun.has(status) ? 'notRun' : 'mayHaveRun'
   return { tag: 'upstreamFailed', verdict, message: `the engine answered ${status}`, status }
 }
@@ -64,10 +64,10 @@
     const stream = eventStream.createEventStream()
     const assembly = assembleAnswer.createAnswerAssembly(requestId, options.onDelta)
     const onData = (chunk: Buffer): boolean => stream.push(chunk).some(assembly.take)
-    const end = await errors.exchange({ requestId, maxBytes, signal: options.signal, onData }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes, signal: options.signal, onData }, (handler) => {
       pool.dispatch({ path: '/v1/chat/completions', method: 'POST', headers: chatHeaders(req, options), body: chatBody(req) }, handler)
     })
-    if (end.type !== 'answered') return errors.fail(errors.upstreamFailure(end))
+    if (end.type !== 'answered') return errors.fail(errors.toUpstreamFailure(end))
     if (end.status !== 200) return errors.fail(statusFailure(end.status, end.headers))
     const assembled = assembly.result()
     return assembled.type === 'whole' ? errors.ok(assembled.answer) : errors.fail(assemblyFailure(assembled.fault))
@@ -77,10 +77,10 @@
     const requestId = crypto.randomUUID()
     const headers = ['content-type', 'application/json', 'x-request-id', requestId]
     const bytes = body === undefined ? null : Buffer.from(JSON.stringify(body))
-    const end = await errors.exchange({ requestId, maxBytes, timeout }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes, timeout }, (handler) => {
       pool.dispatch({ path, method, headers, body: bytes }, handler)
     })
-    if (end.type !== 'answered') return errors.fail(errors.upstreamFailure(end))
+    if (end.type !== 'answered') return errors.fail(errors.toUpstreamFailure(end))
     if (end.status !== 200) return errors.fail(statusFailure(end.status, end.headers))
     const value = answers.parseBody(end.body, parse)
     return value === undefined ? errors.fail(brokenAnswer('invalid')) : errors.ok(value)
@@ -97,13 +97,13 @@
 
   return {
     complete,
-    load: () => request('GET', '/v1/load', undefined, answers.parseLoad(settings.upstream)),
+    getLoad: () => request('GET', '/v1/load', undefined, answers.parseLoad(settings.upstream)),
     hold: (session) => command('POST', `${sessionPath(session)}/hold`, undefined),
     release: (session) => command('DELETE', sessionPath(session), undefined),
-    heldSessions: () => request('GET', '/v1/sessions', undefined, answers.parseSessions),
-    cacheEvents: (fromSeq) => request('GET', `/v1/cache/events?from=${fromSeq}`, undefined, answers.parseEvents),
-    order: (order, fencing) => command('POST', '/v1/orders', { order, fencing }),
-    state: () => request('GET', '/v1/state', undefined, answers.parseState),
+    listHeldSessions: () => request('GET', '/v1/sessions', undefined, answers.parseSessions),
+    readCacheEvents: (fromSeq) => request('GET', `/v1/cache/events?from=${fromSeq}`, undefined, answers.parseEvents),
+    sendOrder: (order, fencing) => command('POST', '/v1/orders', { order, fencing }),
+    getState: () => request('GET', '/v1/state', undefined, answers.parseState),
     exportCache: (session) => request('POST', '/v1/kv/export', { session }, answers.parseExport),
     importCache: (prefix) => command('POST', '/v1/kv/import', prefix),
     close: () => pool.close()
--- a/packages/peers/engine-client/src/engine-client.test.ts
+++ b/packages/peers/engine-client/src/engine-client.test.ts
@@ -128,7 +128,7 @@
   const { engine, call, client } = await bench(t)
   await engine.close()
   t.match(await call('r1'), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
-  t.match(await client.load(), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
+  t.match(await client.getLoad(), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
 })
 
 tap.test('a cancelled generation stops on the engine and frees its memory', async (t) => {
@@ -157,41 +157,41 @@
   if (!first.ok) throw new Error('no answer')
   t.same(await client.hold(session), { ok: true, value: undefined })
   const used = first.value.tokens.prompt + first.value.tokens.generated
-  t.same(await client.heldSessions(), { ok: true, value: [{ session, tokens: used }] })
+  t.same(await client.listHeldSessions(), { ok: true, value: [{ session, tokens: used }] })
   for (let i = 0; i < 20; i += 1) await call(`o${i}`, { session: `other-${i}` as types.ProgramId })
   const messages = [...promptOf('r1'), first.value.message, { role: 'user', content: 'And the sizes?' }]
   const second = await call('r2', { messages })
   t.match(second, { ok: true, value: { tokens: { cached: used } } })
   t.ok(engine.sessions().length < 20, 'others were evicted')
   await client.release(session)
-  t.same(await client.heldSessions(), { ok: true, value: [] })
+  t.same(await client.listHeldSessions(), { ok: true, value: [] })
   t.notOk(engine.sessions().some((one) => one.session === session))
 })
 
 tap.test('load and cache events come late and with gaps', async (t) => {
   const { call, client } = await bench(t, { loadLagMs: 60_000, eventLossEvery: 2 })
   await call('r1')
-  t.match(await client.load(), { ok: true, value: { upstream, running: 0, waiting: 0, cacheTokens: 0, cacheCapacity: 200_000 } })
-  t.match(await client.cacheEvents(0), { ok: true, value: [{ seq: 0, type: 'stored', session }, { seq: 2, type: 'stored', session }] })
-  t.match(await client.cacheEvents(1), { ok: true, value: [{ seq: 2 }] })
+  t.match(await client.getLoad(), { ok: true, value: { upstream, running: 0, waiting: 0, cacheTokens: 0, cacheCapacity: 200_000 } })
+  t.match(await client.readCacheEvents(0), { ok: true, value: [{ seq: 0, type: 'stored', session }, { seq: 2, type: 'stored', session }] })
+  t.match(await client.readCacheEvents(1), { ok: true, value: [{ seq: 2 }] })
   const prompt = await bench(t)
   await prompt.call('r1')
   const used = prompt.engine.sessions().reduce((sum, one) => sum + one.tokens, 0)
   t.ok(used > 0)
-  t.match(await prompt.client.load(), { ok: true, value: { running: 0, cacheTokens: used } })
+  t.match(await prompt.client.getLoad(), { ok: true, value: { running: 0, cacheTokens: used } })
 })
 
 tap.test('an order under an old fencing number is refused, or not, by the engine', async (t) => {
   const order = { type: 'loadModel', model, version: 'v2' } as const
   const checking = await bench(t)
-  t.match(await checking.client.order(order, 7), { ok: true })
-  t.match(await checking.client.order({ ...order, version: 'v1' }, 6), { ok: false, failure: { tag: 'upstreamFailed', status: 409, verdict: 'notRun' } })
-  t.match(await checking.client.order({ type: 'loadAdapter', model, adapter: 'a1' }, 7), { ok: true })
-  t.match(await checking.client.state(), { ok: true, value: { models: [{ model, version: 'v2' }], adapters: ['a1'], role: 'both', fencing: 7 } })
+  t.match(await checking.client.sendOrder(order, 7), { ok: true })
+  t.match(await checking.client.sendOrder({ ...order, version: 'v1' }, 6), { ok: false, failure: { tag: 'upstreamFailed', status: 409, verdict: 'notRun' } })
+  t.match(await checking.client.sendOrder({ type: 'loadAdapter', model, adapter: 'a1' }, 7), { ok: true })
+  t.match(await checking.client.getState(), { ok: true, value: { models: [{ model, version: 'v2' }], adapters: ['a1'], role: 'both', fencing: 7 } })
   const ignoring = await bench(t, { checksFencing: false })
-  await ignoring.client.order(order, 7)
-  t.match(await ignoring.client.order({ type: 'setRole', role: 'decode' }, 6), { ok: true })
-  t.match(await ignoring.client.state(), { ok: true, value: { role: 'decode', fencing: 0 } })
+  await ignoring.client.sendOrder(order, 7)
+  t.match(await ignoring.client.sendOrder({ type: 'setRole', role: 'decode' }, 6), { ok: true })
+  t.match(await ignoring.client.getState(), { ok: true, value: { role: 'decode', fencing: 0 } })
 })
 
 tap.test('short requests give verdicts too', async (t) => {
@@ -200,13 +200,13 @@
   const failures = [['refuse', 'notRun', 0], ['reset', 'mayHaveRun', 0], ['loseAnswer', 'mayHaveRun', 1]] as const
   for (const [how, verdict, orders] of failures) {
     engine.faults.set({ type: 'control', on: 'orders', how }, { times: 1 })
-    t.match(await client.order(order, 1), { ok: false, failure: { verdict } }, how)
+    t.match(await client.sendOrder(order, 1), { ok: false, failure: { verdict } }, how)
     t.equal(engine.counters().orders.length, orders)
   }
   engine.faults.set({ type: 'control', on: 'state', how: 'hang' }, { times: 1 })
   const timers = timerService.createManualTimers()
   const hurried = engineClient.createEngineClient({ upstream, address: engine.address, timeoutMs: 50, timers })
-  const state = hurried.state()
+  const state = hurried.getState()
   await until(() => engine.faults.active() === 0)
   timers.advance(50)
   t.match(await state, { ok: false, failure: { tag: 'timeout', afterMs: 50, verdict: 'mayHaveRun' } })
--- a/packages/peers/engine-client/src/engine-client.ts
+++ b/packages/peers/engine-client/src/engine-client.ts
@@ -66,13 +66,13 @@
  */
 export interface EngineClient {
   complete: (req: EngineRequest, options: CallOptions) => Promise<errors.Result<EngineAnswer>>
-  load: () => Promise<errors.Result<types.UpstreamLoad>>
+  getLoad: () => Promise<errors.Result<types.UpstreamLoad>>
   hold: (session: types.ProgramId) => Promise<errors.Result<void>>
   release: (session: types.ProgramId) => Promise<errors.Result<void>>
-  heldSessions: () => Promise<errors.Result<readonly HeldSession[]>>
-  cacheEvents: (fromSeq: number) => Promise<errors.Result<readonly CacheEvent[]>>
-  order: (order: EngineOrder, fencing: number) => Promise<errors.Result<void>>
-  state: () => Promise<errors.Result<EngineState>>
+  listHeldSessions: () => Promise<errors.Result<readonly HeldSession[]>>
+  readCacheEvents: (fromSeq: number) => Promise<errors.Result<readonly CacheEvent[]>>
+  sendOrder: (order: EngineOrder, fencing: number) => Promise<errors.Result<void>>
+  getState: () => Promise<errors.Result<EngineState>>
   close: () => Promise<void>
 }
 
--- a/packages/peers/host-list-client/src/create-host-list-client.ts
+++ b/packages/peers/host-list-client/src/create-host-list-client.ts
@@ -43,11 +43,11 @@
 
   async function read (): Promise<errors.Result<types.HostList>> {
     const requestId = crypto.randomUUID()
-    const end = await errors.exchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
       client.dispatch({ path: '/v1/hosts', method: 'GET', headers: ['x-request-id', requestId] }, handler)
     })
-    if (end.type !== 'answered') return errors.fail(unavailable(errors.verdictOf(end), errors.describeEnd(end), errors.defaultRetryAfterMs))
-    if (end.status !== 200) return errors.fail(unavailable('notRun', `the host list answered ${end.status}`, errors.retryAfterOf(end.headers)))
+    if (end.type !== 'answered') return errors.fail(unavailable(errors.getVerdict(end), errors.describeOutcome(end), errors.defaultRetryAfterMs))
+    if (end.status !== 200) return errors.fail(unavailable('notRun', `the host list answered ${end.status}`, errors.parseRetryAfterMs(end.headers)))
     const list = parseList(end.body)
     if (list === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the answer is no host list', detail: 'invalid' })
     return errors.ok(list)
--- a/packages/peers/log-client/src/create-log-client.ts
+++ b/packages/peers/log-client/src/create-log-client.ts
@@ -15,14 +15,14 @@
   return { tag: 'logUnavailable', verdict, message, retryAfterMs }
 }
 
-function brokenFailure (end: errors.BrokenEnd): errors.Failure {
-  const verdict = errors.verdictOf(end) === 'notRun' ? 'notRun' : 'mayHaveRun'
-  return unavailable(verdict, errors.describeEnd(end), errors.defaultRetryAfterMs)
+function brokenFailure (end: errors.FailedOutcome): errors.Failure {
+  const verdict = errors.getVerdict(end) === 'notRun' ? 'notRun' : 'mayHaveRun'
+  return unavailable(verdict, errors.describeOutcome(end), errors.defaultRetryAfterMs)
 }
 
 function statusFailure (status: number, headers: errors.RawHeaders): errors.Failure {
   const message = `the log answered ${status}`
-  if (errors.isRefusal(status)) return unavailable('notRun', message, errors.retryAfterOf(headers))
+  if (errors.isRefusal(status)) return unavailable('notRun', message, errors.parseRetryAfterMs(headers))
   if (status >= 500) return unavailable('mayHaveRun', message, errors.defaultRetryAfterMs)
   return { tag: 'upstreamFailed', verdict: 'notRun', message, status }
 }
@@ -48,10 +48,10 @@
     return `/v1/streams/${encodeURIComponent(stream)}/records`
   }
 
-  async function append (stream: types.StreamName, data: string): Promise<errors.Result<logClient.LogAppended>> {
+  async function append (stream: types.StreamName, data: string): Promise<errors.Result<logClient.AppendResult>> {
     const requestId = nextRequestId()
     const headers = ['x-request-id', requestId, 'content-type', 'text/plain; charset=utf-8']
-    const end = await errors.exchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
       pool.dispatch({ path: pathOf(stream), method: 'POST', headers, body: Buffer.from(data) }, handler)
     })
     if (end.type !== 'answered') return errors.fail(brokenFailure(end))
@@ -63,7 +63,7 @@
   async function read (stream: types.StreamName, from: types.LogOffset, options: logClient.ReadOptions = {}): Promise<errors.Result<logClient.LogPage>> {
     const requestId = nextRequestId()
     const limit = options.limit === undefined ? '' : `&limit=${options.limit}`
-    const end = await errors.exchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
       pool.dispatch({ path: `${pathOf(stream)}?from=${from}${limit}`, method: 'GET', headers: ['x-request-id', requestId] }, handler)
     })
     if (end.type !== 'answered') return errors.fail(brokenFailure(end))
--- a/packages/peers/log-client/src/log-answers.ts
+++ b/packages/peers/log-client/src/log-answers.ts
@@ -28,7 +28,7 @@
 }
 
 /** Where an append landed, or undefined where the answer does not say. */
-export function parseAppended (body: Buffer): logClient.LogAppended | undefined {
+export function parseAppended (body: Buffer): logClient.AppendResult | undefined {
   const members = parseMembers(body)
   if (members === undefined) return undefined
   const { offset, at } = members
--- a/packages/peers/log-client/src/log-client.test.ts
+++ b/packages/peers/log-client/src/log-client.test.ts
@@ -74,7 +74,7 @@
   const results = await Promise.all(Array.from({ length: 30 }, (_, i) => client.append(stream, `r${i}`)))
   const refused = results.filter((one) => !one.ok)
   t.ok(refused.length > 0)
-  const waits = refused.map((one) => errors.retryAfterMs(one.failure) ?? 0)
+  const waits = refused.map((one) => errors.getRetryAfterMs(one.failure) ?? 0)
   t.ok(waits.every((ms) => ms > 0 && ms <= 50), 'the next append is due within a twentieth of a second')
   t.ok(refused.every((one) => one.failure.verdict === 'notRun'))
   t.equal(log.counters().appends, results.length - refused.length)
--- a/packages/peers/log-client/src/log-client.ts
+++ b/packages/peers/log-client/src/log-client.ts
@@ -21,7 +21,7 @@
 }
 
 /** Where an append landed. */
-export interface LogAppended {
+export interface AppendResult {
   readonly offset: types.LogOffset
   readonly at: types.EpochMs
 }
@@ -36,7 +36,7 @@
  * refused it, `mayHaveRun` where the answer was lost or late.
  */
 export interface LogClient {
-  append: (stream: types.StreamName, data: string) => Promise<errors.Result<LogAppended>>
+  append: (stream: types.StreamName, data: string) => Promise<errors.Result<AppendResult>>
   /** A page may be shorter than the limit; an expired start gives an ordinary page whose `first` says so. */
   read: (stream: types.StreamName, from: types.LogOffset, options?: ReadOptions) => Promise<errors.Result<LogPage>>
   close: () => Promise<void>
--- a/packages/peers/send-http/src/send-http.test.ts
+++ b/packages/peers/send-http/src/send-http.test.ts
@@ -9,7 +9,7 @@
   readonly failure: sendHttp.SendFailure | undefined
 }
 
-const sender = sendHttp.createSender({ idleMs: 1_000, freshMs: 60 })
+const sender = sendHttp.createSender({ idleTimeoutMs: 1_000, shortIdleTimeoutMs: 60 })
 tap.teardown(() => { sender.close() })
 
 /** A server that answers what it has received so far with raw bytes. */
@@ -32,11 +32,11 @@
   return new Promise((resolve) => {
     let status: number | undefined
     let text = ''
-    sender.send({ address, method: 'POST', path: '/x', headers: ['Host', 'h', 'Content-Length', String(body.length)], body, connectTimeoutMs: 200, confirmMs: options.confirmMs, atMostOnce: options.atMostOnce ?? false }, {
-      head: (head) => { status = head.status },
-      data: (chunk) => { text += chunk.toString() },
-      end: () => { resolve({ status, body: text, ended: true, failure: undefined }) },
-      fail: (failure) => { resolve({ status, body: text, ended: false, failure }) }
+    sender.send({ address, method: 'POST', path: '/x', headers: ['Host', 'h', 'Content-Length', String(body.length)], body, connectTimeoutMs: 200, continueTimeoutMs: options.confirmMs, atMostOnce: options.atMostOnce ?? false }, {
+      onHead: (head) => { status = head.status },
+      onData: (chunk) => { text += chunk.toString() },
+      onComplete: () => { resolve({ status, body: text, ended: true, failure: undefined }) },
+      onFailed: (failure) => { resolve({ status, body: text, ended: false, failure }) }
     })
   })
 }
--- a/packages/peers/send-http/src/send-http.ts
+++ b/packages/peers/send-http/src/send-http.ts
@@ -3,7 +3,7 @@
 import type * as types from '@eelgrasswind/types'
 
 /** What is sent. Headers are name and value in turn, complete but for the connection's own. */
-export interface Outgoing {
+export interface OutgoingRequest {
   /** IP:PORT. */
   readonly address: string
   readonly method: string
@@ -16,7 +16,7 @@
    * Sends the body only once the other side has said `100 Continue`, and gives up if it does not within this time,
    * in ms: until then it certainly did not run. `undefined` sends everything at once.
    */
-  readonly confirmMs: number | undefined
+  readonly continueTimeoutMs: number | undefined
   /**
    * Must not run twice. While other sides are seen to drop idle connections without notice, it goes out on a connection
    * used within `freshMs` or on a new one: what is sent on a dropped one is reset, and nobody can tell whether it ran.
@@ -25,7 +25,7 @@
 }
 
 /** Status and headers of an answer. */
-export interface Head {
+export interface AnswerHead {
   readonly status: number
   readonly headers: http.IncomingHttpHeaders
   /** Name and value in turn, as received. */
@@ -43,11 +43,11 @@
 
 /** Receives the answer. After `end` or `fail` nothing follows. */
 export interface AnswerSink {
-  readonly head: (head: Head) => void
-  readonly data: (chunk: Buffer) => void
+  readonly onHead: (head: AnswerHead) => void
+  readonly onData: (chunk: Buffer) => void
   /** The answer is complete. */
-  readonly end: () => void
-  readonly fail: (failure: SendFailure) => void
+  readonly onComplete: () => void
+  readonly onFailed: (failure: SendFailure) => void
 }
 
 /** A request under way, and what its sender may still do with it. */
@@ -61,31 +61,31 @@
 
 /** Sends requests over connections that it keeps for reuse. */
 export interface Sender {
-  readonly send: (request: Outgoing, sink: AnswerSink) => Exchange
+  readonly send: (request: OutgoingRequest, sink: AnswerSink) => Exchange
   readonly close: () => void
 }
 
 /** How connections are kept. */
 export interface SenderSettings {
   /** An idle connection is given up after this time, in ms: well before any upstream's own limit. */
-  readonly idleMs: number
+  readonly idleTimeoutMs: number
   /** The same while connections are seen to be dropped unasked, for requests that must not run twice, in ms: below the soonest drop. */
-  readonly freshMs: number
+  readonly shortIdleTimeoutMs: number
 }
 
 /** Two of Node's own connection pools; the longest idle connections go first. */
 export function createSender (settings: SenderSettings): Sender {
-  const usual = createAgent(settings.idleMs)
-  const fresh = createAgent(settings.freshMs)
+  const usual = createAgent(settings.idleTimeoutMs)
+  const fresh = createAgent(settings.shortIdleTimeoutMs)
   let waryUntil = -Infinity
   const watch = (sink: AnswerSink): AnswerSink => {
     const sentAt = performance.now()
     return {
       ...sink,
-      fail: (failure) => {
+      onFailed: (failure) => {
         const now = performance.now()
         if (failure.reused && failure.cause === 'reset' && now - sentAt < promptResetMs) waryUntil = now + waryMs
-        sink.fail(failure)
+        sink.onFailed(failure)
       }
     }
   }
@@ -113,9 +113,9 @@
   return new http.Agent({ keepAlive: true, scheduling: 'lifo', timeout: idleMs, maxSockets: Infinity })
 }
 
-function startExchange (agent: http.Agent, request: Outgoing, sink: AnswerSink): Exchange {
+function startExchange (agent: http.Agent, request: OutgoingRequest, sink: AnswerSink): Exchange {
   const colon = request.address.lastIndexOf(':')
-  const headers = request.confirmMs === undefined ? request.headers : [...request.headers, 'Expect', '100-continue']
+  const headers = request.continueTimeoutMs === undefined ? request.headers : [...request.headers, 'Expect', '100-continue']
   const req = http.request({
     agent,
     host: request.address.slice(0, colon),
@@ -138,7 +138,7 @@
   private retired = false
   private startTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly req: http.ClientRequest, private readonly request: Outgoing, private readonly sink: AnswerSink) {
+  constructor (private readonly req: http.ClientRequest, private readonly request: OutgoingRequest, private readonly sink: AnswerSink) {
     req.on('socket', (socket) => {
       if (socket.connecting) socket.once('connect', () => { this.onConnect() })
       else this.onConnect()
@@ -147,7 +147,7 @@
     req.on('response', (res) => { this.onResponse(res) })
     req.on('error', (err) => { this.onError(err) })
     req.on('close', () => { this.failWith('reset', 'connection closed') })
-    if (request.confirmMs === undefined) {
+    if (request.continueTimeoutMs === undefined) {
       req.end(request.body)
       return
     }
@@ -178,7 +178,7 @@
   private onConnect (): void {
     this.connected = true
     clearTimeout(this.startTimer)
-    const { confirmMs } = this.request
+    const { continueTimeoutMs: confirmMs } = this.request
     if (confirmMs === undefined) this.sent = true
     else if (!this.done) this.startTimer = setTimeout(() => { this.failWith('unconfirmed', 'no go-ahead in time') }, confirmMs)
   }
@@ -189,10 +189,10 @@
     this.res = res
     // An answer that came before the request was out leaves bytes on the way that belong to this request.
     if (!this.req.writableFinished) this.retired = true
-    res.on('data', (chunk: Buffer) => { if (!this.done) this.sink.data(chunk) })
+    res.on('data', (chunk: Buffer) => { if (!this.done) this.sink.onData(chunk) })
     res.on('end', () => { this.onEnd(res) })
     res.on('error', (err) => { this.onError(err) })
-    this.sink.head({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
+    this.sink.onHead({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
   }
 
   private onEnd (res: http.IncomingMessage): void {
@@ -203,7 +203,7 @@
     }
     this.finish()
     if (this.retired) this.req.destroy()
-    this.sink.end()
+    this.sink.onComplete()
   }
 
   private onError (err: Error): void {
@@ -223,7 +223,7 @@
     const actual = this.connected || cause === 'refused' ? cause : 'connect'
     this.finish()
     this.req.destroy()
-    this.sink.fail({ verdict: this.sent ? 'mayHaveRun' : 'notRun', cause: actual, detail, reused: this.req.reusedSocket })
+    this.sink.onFailed({ verdict: this.sent ? 'mayHaveRun' : 'notRun', cause: actual, detail, reused: this.req.reusedSocket })
   }
 
   private finish (): void {
--- a/packages/peers/send-http/src/send-whole.ts
+++ b/packages/peers/send-http/src/send-whole.ts
@@ -11,15 +11,15 @@
  * Resolves at the latest after the time given, in ms, whatever state the connection is in: one that is still being made,
  * as to a host behind a cut, ends with the request.
  */
-export function sendWhole (sender: sendHttp.Sender, timers: timerService.TimerService, request: sendHttp.Outgoing, timeoutMs: number): Promise<WholeOutcome> {
+export function sendBuffered (sender: sendHttp.Sender, timers: timerService.TimerService, request: sendHttp.OutgoingRequest, timeoutMs: number): Promise<WholeOutcome> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     let status = 0
     const exchange = sender.send(request, {
-      head: (head) => { status = head.status },
-      data: (chunk) => { chunks.push(chunk) },
-      end: () => { finish({ type: 'answer', status, body: Buffer.concat(chunks) }) },
-      fail: (failure) => { finish({ type: 'failed', failure }) }
+      onHead: (head) => { status = head.status },
+      onData: (chunk) => { chunks.push(chunk) },
+      onComplete: () => { finish({ type: 'answer', status, body: Buffer.concat(chunks) }) },
+      onFailed: (failure) => { finish({ type: 'failed', failure }) }
     })
     const limit = timers.after(timeoutMs, () => {
       exchange.cancel()
--- a/packages/peers/service-client/src/create-service-client.ts
+++ b/packages/peers/service-client/src/create-service-client.ts
@@ -20,10 +20,10 @@
   return headers
 }
 
-function answerOf (end: errors.ExchangeEnd): errors.Result<serviceClient.ServiceAnswer> {
-  if (end.type !== 'answered') return errors.fail(errors.upstreamFailure(end))
+function answerOf (end: errors.ExchangeOutcome): errors.Result<serviceClient.ServiceAnswer> {
+  if (end.type !== 'answered') return errors.fail(errors.toUpstreamFailure(end))
   const { status } = end
-  if (errors.isRefusal(status)) return errors.fail(errors.upstreamRefusal(status, end.headers))
+  if (errors.isRefusal(status)) return errors.fail(errors.toUpstreamRefusal(status, end.headers))
   if (status >= 500) return errors.fail({ tag: 'upstreamFailed', verdict: 'mayHaveRun', message: `the service answered ${status}`, status })
   const body = parseBody(end.body)
   if (body === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the answer is not JSON', detail: 'invalid' })
@@ -38,7 +38,7 @@
     const { requestId } = req
     const path = req.path.startsWith('/') ? req.path : `/${req.path}`
     const body = Buffer.from(JSON.stringify(req.body ?? null))
-    const end = await errors.exchange({ requestId, maxBytes: settings.maxAnswerBytes, signal: options.signal }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes: settings.maxAnswerBytes, signal: options.signal }, (handler) => {
       pool.dispatch({ path, method: 'POST', headers: headersOf(req, options), body }, handler)
     })
     return answerOf(end)
--- a/packages/peers/shard-log/src/shard-log.ts
+++ b/packages/peers/shard-log/src/shard-log.ts
@@ -94,19 +94,19 @@
 /** The calls to the store. None throws: a call without a result gives a `StoreFailure`. */
 export interface ShardLog {
   readonly append: (request: FencedAppend) => Promise<AppendOutcome>
-  readonly newest: (partition: Partition, after: string | undefined) => Promise<NewestPage | StoreFailure>
+  readonly readNewest: (partition: Partition, after: string | undefined) => Promise<NewestPage | StoreFailure>
   /** `expired`: records after `from` are gone, only the newest of each key can be had. */
   readonly read: (request: ReadRequest) => Promise<RecordPage | { readonly type: 'expired' } | StoreFailure>
   /** Joins the group, or renews the lease of a member. */
   readonly join: (request: JoinRequest) => Promise<Assignment | StoreFailure>
   readonly leave: (group: string, member: string) => Promise<{ readonly type: 'left' } | StoreFailure>
-  readonly owners: (group: string) => Promise<{ readonly type: 'owners', readonly owners: readonly Owner[] } | StoreFailure>
+  readonly listOwners: (group: string) => Promise<{ readonly type: 'owners', readonly owners: readonly Owner[] } | StoreFailure>
 }
 
 /** Text that identifies a partition. */
-export function partitionName (partition: Partition): types.Branded<string, 'PartitionName'> {
+export function formatPartitionName (partition: Partition): types.Branded<string, 'PartitionName'> {
   return `${partition.topic}/${partition.part}` as types.Branded<string, 'PartitionName'>
 }
 
 /** TOPIC/PART. */
-export type PartitionName = ReturnType<typeof partitionName>
+export type PartitionName = ReturnType<typeof formatPartitionName>
--- a/packages/peers/shard-log/src/store-call.ts
+++ b/packages/peers/shard-log/src/store-call.ts
@@ -17,24 +17,24 @@
 export function runStoreCall (log: shardLog.ShardLog, call: StoreCall): Promise<StoreAnswer> {
   switch (call.type) {
     case 'append': return log.append(call.request)
-    case 'newest': return log.newest(call.partition, call.after)
+    case 'newest': return log.readNewest(call.partition, call.after)
     case 'read': return log.read(call.request)
     case 'join': return log.join(call.request)
     case 'leave': return log.leave(call.group, call.member)
-    case 'owners': return log.owners(call.group)
+    case 'owners': return log.listOwners(call.group)
   }
 }
 
 /** A shard log whose calls go through one function. */
-export function shardLogOver (run: (call: StoreCall) => Promise<StoreAnswer>): shardLog.ShardLog {
+export function createShardLog (run: (call: StoreCall) => Promise<StoreAnswer>): shardLog.ShardLog {
   // Each call gets the answer of its own method: `runStoreCall` returns no other.
   return {
     append: (request) => run({ type: 'append', request }) as ReturnType<shardLog.ShardLog['append']>,
-    newest: (partition, after) => run({ type: 'newest', partition, after }) as ReturnType<shardLog.ShardLog['newest']>,
+    readNewest: (partition, after) => run({ type: 'newest', partition, after }) as ReturnType<shardLog.ShardLog['readNewest']>,
     read: (request) => run({ type: 'read', request }) as ReturnType<shardLog.ShardLog['read']>,
     join: (request) => run({ type: 'join', request }) as ReturnType<shardLog.ShardLog['join']>,
     leave: (group, member) => run({ type: 'leave', group, member }) as ReturnType<shardLog.ShardLog['leave']>,
-    owners: (group) => run({ type: 'owners', group }) as ReturnType<shardLog.ShardLog['owners']>
+    listOwners: (group) => run({ type: 'owners', group }) as ReturnType<shardLog.ShardLog['listOwners']>
   }
 }
 
@@ -42,7 +42,7 @@
 const turnedAway: ReadonlySet<number> = new Set([429, 503])
 
 /** Whether the caller, or the way to the store, is at fault, so that another process may fare better. */
-export function isUnserved (answer: StoreAnswer): answer is shardLog.StoreFailure {
+export function isRetryableElsewhere (answer: StoreAnswer): answer is shardLog.StoreFailure {
   if (answer.type === 'noAnswer') return true
   return answer.type === 'refused' && turnedAway.has(answer.status)
 }
--- a/packages/peers/sidecar-client/src/channel-requests.ts
+++ b/packages/peers/sidecar-client/src/channel-requests.ts
@@ -14,7 +14,7 @@
 
 /** Receives the pieces of one answer. */
 export interface Receiver {
-  readonly onPlaced: (placed: types.Placed) => void
+  readonly onPlaced: (placed: types.Placement) => void
   readonly onDelta: (text: string) => void
 }
 
@@ -45,7 +45,7 @@
     case 'drop':
     case 'cancel':
     case undefined: return frameBytes
-    default: return errors.unreachable(body)
+    default: return errors.assertNever(body)
   }
 }
 
@@ -122,11 +122,11 @@
         case 'endJson': return this.end(id, errors.ok(convert.fromJson(body.value)))
         case 'failure': return this.end(id, errors.fail(convert.fromFailureMessage(body.value)))
         case undefined: return
-        default: return errors.unreachable(body)
+        default: return errors.assertNever(body)
       }
     } catch (err) {
       // A fault in one answer must not end the others.
-      this.end(id, errors.fail(errors.failureFrom(err)))
+      this.end(id, errors.fail(errors.toFailure(err)))
     }
   }
 
--- a/packages/peers/sidecar-client/src/channel-session.ts
+++ b/packages/peers/sidecar-client/src/channel-session.ts
@@ -27,7 +27,7 @@
     case 'endJson': return frameBytes + body.value.length
     case 'failure': return frameBytes + body.value.json.length
     case undefined: return frameBytes
-    default: return errors.unreachable(body)
+    default: return errors.assertNever(body)
   }
 }
 
@@ -69,7 +69,7 @@
       case 'hold':
       case 'drop': return this.runHolds(id, body)
       case undefined: return this.reply(id, failed(notServed))
-      default: return errors.unreachable(body)
+      default: return errors.assertNever(body)
     }
   }
 
@@ -101,7 +101,7 @@
         case 'start': return await home.start(convert.fromJson(body.value.startJson), { traceparent: body.value.traceparent })
         case 'finish': return await home.finish(body.value.program as types.ProgramId, body.value.result as types.FinishResult, { traceparent: body.value.traceparent })
         case 'read': return await home.read(body.value.program as types.ProgramId, body.value.history)
-        default: return errors.unreachable(body)
+        default: return errors.assertNever(body)
       }
     })
   }
@@ -124,7 +124,7 @@
     try {
       result = await run()
     } catch (err) {
-      result = errors.fail(errors.failureFrom(err))
+      result = errors.fail(errors.toFailure(err))
     }
     this.reply(id, result.ok ? { case: 'endJson', value: convert.toJson(result.value ?? null) } : failed(result.failure))
     this.open.delete(id)
--- a/packages/peers/sidecar-client/src/channel.test.ts
+++ b/packages/peers/sidecar-client/src/channel.test.ts
@@ -79,7 +79,7 @@
       case 'cancel': this.asked[on % Math.max(1, this.asked.length)]?.stop.abort(); break
       case 'close': this.session.close(); break
       case 'lose': this.lose(); break
-      default: errors.unreachable(type)
+      default: errors.assertNever(type)
     }
     await turn()
   }
@@ -206,8 +206,8 @@
   const server = await peerServer.startPeerServer({
     bindAddress: '127.0.0.1',
     port: 0,
-    sender: () => sender,
-    process: { status: refuse, getConfig: refuse, explain: refuse, loads: refuse },
+    getSender: () => sender,
+    process: { getStatus: refuse, getConfig: refuse, explain: refuse, getLoads: refuse },
     home: { ...home, ...more, release: refuse, list: refuse }
   })
   const senders: types.Sender[] = []
@@ -217,8 +217,8 @@
     timeoutMs: 2_000,
     pingIntervalMs: 500,
     pingTimeoutMs: 500,
-    onSender: (one) => senders.push(one),
-    onBroken: (failure) => broken.push(failure)
+    onSenderReceived: (one) => senders.push(one),
+    onUnavailable: (failure) => broken.push(failure)
   })
   t.teardown(() => { client.close(); return server.close() })
   const call = (key: string, sink: Partial<types.CallSink> = {}): Promise<errors.Result<types.CallEnd>> =>
@@ -315,8 +315,8 @@
     timeoutMs: 200,
     pingIntervalMs: 60_000,
     pingTimeoutMs: 60_000,
-    onSender: () => undefined,
-    onBroken: (failure) => broken.push(failure)
+    onSenderReceived: () => undefined,
+    onUnavailable: (failure) => broken.push(failure)
   })
   t.teardown(() => { client.close(); way.close() })
   const receiver: types.CallSink = { onPlaced: () => undefined, onDelta: () => undefined }
--- a/packages/peers/sidecar-client/src/handlers.ts
+++ b/packages/peers/sidecar-client/src/handlers.ts
@@ -30,16 +30,16 @@
 
 /** Requests to any process. */
 export interface ProcessHandlers {
-  status: () => Promise<errors.Result<types.ProcessStatus>>
+  getStatus: () => Promise<errors.Result<types.ProcessStatus>>
   /** Null where the receiver has nothing newer. */
   getConfig: (have: types.ConfigVersion) => Promise<errors.Result<PeerConfig | null>>
   explain: (program: types.ProgramId, key: types.RequestKey | null) => Promise<errors.Result<types.CallExplanation>>
-  loads: () => Promise<errors.Result<readonly types.UpstreamLoad[]>>
+  getLoads: () => Promise<errors.Result<readonly types.UpstreamLoad[]>>
 }
 
 /** Requests to the owner of a client's limit. */
 export interface LimitHandlers {
-  borrowShare: (wish: types.ShareWish) => Promise<errors.Result<types.ShareLease>>
+  borrowShare: (wish: types.ShareRequest) => Promise<errors.Result<types.ShareLease>>
 }
 
 /** Everything that a sidecar answers. */
--- a/packages/peers/sidecar-client/src/peer-client.ts
+++ b/packages/peers/sidecar-client/src/peer-client.ts
@@ -23,9 +23,9 @@
   readonly pingTimeoutMs: number
   /** The process clock where left out. */
   readonly timers?: timerService.TimerService
-  readonly onSender: (sender: types.Sender) => void
+  readonly onSenderReceived: (sender: types.Sender) => void
   /** Called when the peer could not be reached or its connection broke. */
-  readonly onBroken: (failure: errors.Failure) => void
+  readonly onUnavailable: (failure: errors.Failure) => void
 }
 
 export interface PeerClient extends handlers.Peer {
@@ -60,16 +60,16 @@
   const upstream = connect.createClient(gen.UpstreamService, transport)
   const peer = connect.createClient(gen.PeerService, transport)
   const timers = settings.timers ?? timerService.createRealTimers()
-  const channel = new channels.ChannelClient({ transport, timers, openTimeoutMs: settings.timeoutMs, noteSender, onBroken: settings.onBroken })
+  const channel = new channels.ChannelClient({ transport, timers, openTimeoutMs: settings.timeoutMs, noteSender, onBroken: settings.onUnavailable })
   const short = { timeoutMs: settings.timeoutMs }
 
   function noteSender (sender: gen.Sender | undefined): void {
-    if (sender !== undefined) settings.onSender(convert.fromSender(sender))
+    if (sender !== undefined) settings.onSenderReceived(convert.fromSender(sender))
   }
 
   function broken<T> (err: unknown): errors.Result<T> {
     const failure = transportFailures.transportFailure(err)
-    if (failure.tag === 'peerUnavailable') settings.onBroken(failure)
+    if (failure.tag === 'peerUnavailable') settings.onUnavailable(failure)
     return errors.fail(failure)
   }
 
@@ -115,14 +115,14 @@
     seal: (seal) => ask(() => upstream.seal({ ...seal, intent: BigInt(seal.intent), intentAtMs: seal.intentAt }, short)),
     hold: (program, term, upstreamId, holdMs) => channel.ask({ case: 'hold', value: protobuf.create(gen.HoldRequestSchema, { program, term: BigInt(term), upstream: upstreamId, holdMs }) }, settings.timeoutMs),
     drop: (program, term, upstreamId) => channel.ask({ case: 'drop', value: protobuf.create(gen.DropRequestSchema, { program, term: BigInt(term), upstream: upstreamId }) }, settings.timeoutMs),
-    status: () => askDocument(() => peer.status({}, short), (reply) => convert.fromJson(reply.statusJson)),
+    getStatus: () => askDocument(() => peer.status({}, short), (reply) => convert.fromJson(reply.statusJson)),
     getConfig: (have) => askDocument(() => peer.getConfig({ haveVersion: BigInt(have) }, short), (reply) => {
       if (reply.configJson.length === 0) return null
       return { version: Number(reply.version) as types.ConfigVersion, config: convert.fromJson(reply.configJson) }
     }),
     explain: (program, key) => askDocument(() => peer.explain({ program, key: key ?? '' }, short), (reply) => convert.fromJson(reply.explainJson)),
     borrowShare: (wish) => ask(() => peer.borrowShare({ ...wish }, short)),
-    loads: () => askDocument(() => peer.getLoads({}, short), (reply) => convert.fromJson(reply.loadsJson)),
+    getLoads: () => askDocument(() => peer.getLoads({}, short), (reply) => convert.fromJson(reply.loadsJson)),
     close () {
       channel.close()
       timers.after(abortDelayMs, () => session.abort())
--- a/packages/peers/sidecar-client/src/peer-pool.ts
+++ b/packages/peers/sidecar-client/src/peer-pool.ts
@@ -7,8 +7,8 @@
   readonly timeoutMs: number
   readonly pingIntervalMs: number
   readonly pingTimeoutMs: number
-  readonly onSender: (sender: types.Sender) => void
-  readonly onBroken: (host: types.HostId, failure: errors.Failure) => void
+  readonly onSenderReceived: (sender: types.Sender) => void
+  readonly onUnavailable: (host: types.HostId, failure: errors.Failure) => void
 }
 
 export interface PeerPool {
@@ -33,8 +33,8 @@
       timeoutMs: settings.timeoutMs,
       pingIntervalMs: settings.pingIntervalMs,
       pingTimeoutMs: settings.pingTimeoutMs,
-      onSender: settings.onSender,
-      onBroken: (failure) => settings.onBroken(host, failure)
+      onSenderReceived: settings.onSenderReceived,
+      onUnavailable: (failure) => settings.onUnavailable(host, failure)
     })
     entries.set(host, { address, client })
     return client
--- a/packages/peers/sidecar-client/src/peer-server.ts
+++ b/packages/peers/sidecar-client/src/peer-server.ts
@@ -15,7 +15,7 @@
   readonly bindAddress: string
   readonly port: number
   /** What this process says of itself with every answer. */
-  readonly sender: () => types.Sender
+  readonly getSender: () => types.Sender
   readonly process: handlers.ProcessHandlers
   /** Only sidecars have these. */
   readonly home?: handlers.HomeHandlers
@@ -49,7 +49,7 @@
   try {
     return await run()
   } catch (err) {
-    return errors.fail(errors.failureFrom(err))
+    return errors.fail(errors.toFailure(err))
   }
 }
 
@@ -85,7 +85,7 @@
 function processRoutes (router: connect.ConnectRouter, own: handlers.ProcessHandlers, limits: handlers.LimitHandlers | undefined, sender: () => gen.Sender): void {
   router.service(gen.PeerService, {
     async status () {
-      return { statusJson: convert.toJson(valueOf(await own.status())), sender: sender() }
+      return { statusJson: convert.toJson(valueOf(await own.getStatus())), sender: sender() }
     },
     async getConfig (req) {
       const newer = valueOf(await own.getConfig(Number(req.haveVersion) as types.ConfigVersion))
@@ -97,7 +97,7 @@
       return { explainJson: convert.toJson(valueOf(await own.explain(req.program as types.ProgramId, key))), sender: sender() }
     },
     async borrowShare (req) {
-      const wish: types.ShareWish = {
+      const wish: types.ShareRequest = {
         client: req.client as types.ClientId,
         limit: req.limit as types.LimitName,
         holder: req.holder as types.HostId,
@@ -108,7 +108,7 @@
       return { result: reply('grantJson', result), sender: sender() }
     },
     async getLoads () {
-      return { loadsJson: convert.toJson(valueOf(await own.loads())), sender: sender() }
+      return { loadsJson: convert.toJson(valueOf(await own.getLoads())), sender: sender() }
     }
   })
 }
@@ -153,7 +153,7 @@
 }
 
 export async function startPeerServer (settings: PeerServerSettings): Promise<PeerServer> {
-  const sender = (): gen.Sender => convert.toSender(settings.sender())
+  const sender = (): gen.Sender => convert.toSender(settings.getSender())
   const channels = new Set<channelSessions.ChannelSession>()
   const handler = connectNode.connectNodeAdapter({
     acceptCompression: [],
--- a/packages/peers/weight-store-client/src/create-weight-store-client.ts
+++ b/packages/peers/weight-store-client/src/create-weight-store-client.ts
@@ -14,15 +14,15 @@
   return { tag: 'cancelled', verdict: 'notRun', message: 'given up by the asker' }
 }
 
-function brokenFailure (end: errors.BrokenEnd): errors.Failure {
-  const failure = errors.upstreamFailure(end)
+function brokenFailure (end: errors.FailedOutcome): errors.Failure {
+  const failure = errors.toUpstreamFailure(end)
   if (failure.tag !== 'upstreamUnavailable') return failure
   return { ...failure, tag: 'peerUnavailable' }
 }
 
 function statusFailure (status: number, headers: errors.RawHeaders): errors.Failure {
   const message = `the weight store answered ${status}`
-  if (errors.isRefusal(status)) return { tag: 'peerUnavailable', verdict: 'notRun', message, retryAfterMs: errors.retryAfterOf(headers) }
+  if (errors.isRefusal(status)) return { tag: 'peerUnavailable', verdict: 'notRun', message, retryAfterMs: errors.parseRetryAfterMs(headers) }
   return { tag: 'upstreamFailed', verdict: status < 500 ? 'notRun' : 'mayHaveRun', message, status }
 }
 
@@ -44,13 +44,13 @@
       options.onChunk?.(chunk)
       return false
     }
-    const end = await errors.exchange({ requestId, maxBytes: Infinity, timeout, signal: options.signal, onData }, (handler) => {
+    const end = await errors.runExchange({ requestId, maxBytes: Infinity, timeout, signal: options.signal, onData }, (handler) => {
       pool.dispatch({ path, method: 'GET', headers: ['x-request-id', requestId] }, handler)
     })
     if (end.type !== 'answered') return errors.fail(brokenFailure(end))
     if (end.status !== 200) return errors.fail(statusFailure(end.status, end.headers))
     const sha256 = hash.digest('hex')
-    if (sha256 === errors.headerOf(end.headers, 'x-weights-sha256')) return errors.ok({ bytes, sha256 })
+    if (sha256 === errors.getHeader(end.headers, 'x-weights-sha256')) return errors.ok({ bytes, sha256 })
     return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the bytes do not match their digest', detail: 'digest' })
   }
 
--- a/packages/peers/weight-store-client/src/weight-store-client.test.ts
+++ b/packages/peers/weight-store-client/src/weight-store-client.test.ts
@@ -34,7 +34,7 @@
 
 /** Whether the client waits for its next attempt: sooner due than the time limit of an attempt. */
 function isWaiting (timers: timerService.ManualTimers): boolean {
-  return (timers.nextDue() ?? Infinity) < timers.now() + 10_000
+  return (timers.getNextDueMs() ?? Infinity) < timers.now() + 10_000
 }
 
 tap.test('fetches the bytes and checks their digest', async (t) => {
@@ -66,7 +66,7 @@
   const waits = []
   for (const refusals of [1, 2]) {
     await until(() => store.counters().refused === refusals && isWaiting(timers))
-    waits.push(timers.nextDue()! - timers.now())
+    waits.push(timers.getNextDueMs()! - timers.now())
     timers.advance(waits.at(-1)! - 1)
     await new Promise((resolve) => { setImmediate(resolve) })
     t.equal(store.counters().refused, refusals, 'not before')
--- a/packages/programs/entry/src/caller-handlers.ts
+++ b/packages/programs/entry/src/caller-handlers.ts
@@ -40,7 +40,7 @@
       const service = config.services.get(target.service)
       return service === undefined ? unknownTarget('service', target.service) : errors.ok(service)
     }
-    default: return errors.unreachable(target)
+    default: return errors.assertNever(target)
   }
 }
 
@@ -99,7 +99,7 @@
     call,
     finish,
     read,
-    maxBodyBytes: () => deps.config()?.limits.maxBodyBytes ?? defaultMaxBodyBytes
+    getMaxBodyBytes: () => deps.config()?.limits.maxBodyBytes ?? defaultMaxBodyBytes
   }
 }
 
--- a/packages/programs/entry/src/client-limits.ts
+++ b/packages/programs/entry/src/client-limits.ts
@@ -11,7 +11,7 @@
   readonly timers: timerService.TimerService
   readonly config: () => configState.Config | undefined
   readonly onLimited: () => void
-  readonly directory: Pick<processBase.HostDirectory, 'ownerOf' | 'ask' | 'hosts'>
+  readonly directory: Pick<processBase.HostDirectory, 'findOwner' | 'callPeer' | 'listHosts'>
 }
 
 type LimitKey = `${types.ClientId}/${types.LimitName}`
@@ -101,8 +101,8 @@
     const wanted = limitClient.computeShareRequest(holder, askedAt)
     const wantedCredit = Math.max(wanted.wantedCredit, this.waiting.get(key) ?? 0)
     const wish = { client, limit, holder: self, ...wanted, wantedCredit }
-    const owner = directory.ownerOf({ type: 'clientLimit', client })
-    const lease = owner === undefined ? undefined : await directory.ask(owner, (peer) => peer.borrowShare(wish))
+    const owner = directory.findOwner({ type: 'clientLimit', client })
+    const lease = owner === undefined ? undefined : await directory.callPeer(owner, (peer) => peer.borrowShare(wish))
     const grant = lease?.ok === true ? lease.value : this.equalPart(client, limit)
     if (grant === undefined) return
     const now = timers.monotonic()
@@ -114,7 +114,7 @@
     const configured = this.deps.config()?.clients.get(client)
     if (configured === undefined) return undefined
     const { perSecond, burst } = limitClient.getClientLimit(configured, limit)
-    const entries = Math.max(1, [...this.deps.directory.hosts()].filter(({ entry, state }) => entry.role === 'entry' && state !== 'gone').length)
+    const entries = Math.max(1, [...this.deps.directory.listHosts()].filter(({ entry, state }) => entry.role === 'entry' && state !== 'gone').length)
     return { perSecond: perSecond / entries, burst: burst / entries, credit: 0, leaseMs: limitClient.defaultShareLeaseMs }
   }
 }
--- a/packages/programs/entry/src/entry.ts
+++ b/packages/programs/entry/src/entry.ts
@@ -17,7 +17,7 @@
   const forwarder = new forwarding.Forwarder({
     timers,
     rankHomes: (program) => directory.rankHomes(program),
-    ask: (host, send) => directory.ask(host, send),
+    ask: (host, send) => directory.callPeer(host, send),
     isKnown: (host) => directory.stateOf(host) !== 'gone',
     random: Math.random
   })
@@ -37,7 +37,7 @@
   const peers = await sidecarClient.startPeerServer({
     bindAddress: cfg.bindAddress,
     port: cfg.peerPort,
-    sender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: versionOf(base) }),
+    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: versionOf(base) }),
     process: processBase.createProcessHandlers(base, {
       status: () => statusOf(cfg, base, leaving),
       explain: (program, key) => ({ program, key, decisions: [] }),
@@ -45,7 +45,7 @@
     })
   })
   const gauges = processBase.startProcessMetrics(base, () => undefined)
-  await base.follower.waitForFirst()
+  await base.configFollower.waitForFirst()
   const callers = await callerServer.startCallerServer({ bindAddress: cfg.bindAddress, port: cfg.callerPort, handlers, logger })
 
   async function drain (): Promise<void> {
@@ -67,11 +67,11 @@
     peerAddress: `http://${cfg.bindAddress}:${peers.port}`,
     callerAddress: `http://${cfg.bindAddress}:${callers.port}`
   }
-  return { ready, drain, close, logger }
+  return { readyLine: ready, drain, close, logger }
 }
 
 function versionOf (base: processBase.ProcessBase): types.ConfigVersion {
-  return base.follower.current()?.version ?? 0 as types.ConfigVersion
+  return base.configFollower.current()?.version ?? 0 as types.ConfigVersion
 }
 
 function statusOf (cfg: settings.EntrySettings, base: processBase.ProcessBase, leaving: boolean): types.ProcessStatus {
--- a/packages/programs/entry/src/forward.ts
+++ b/packages/programs/entry/src/forward.ts
@@ -43,7 +43,7 @@
       const host = this.homeOf(program, unreachable)
       const result = host === undefined ? errors.fail(noHome) : await this.askUntil(host, send, deadline)
       if (result.ok) return result
-      worst = errors.worseVerdict(worst, result.failure.verdict)
+      worst = errors.combineVerdicts(worst, result.failure.verdict)
       if (!concernsHome(result.failure)) return errors.fail(withVerdict(result.failure, worst))
       const elsewhere = this.learnHome(program, host, result.failure, unreachable)
       const wait = elsewhere && attempt <= maxDirectMoves ? 0 : this.waitBefore(result.failure, attempt, deadline)
@@ -56,7 +56,7 @@
   private async askUntil<T> (host: types.HostId, send: (peer: sidecarClient.PeerClient) => Promise<errors.Result<T>>, deadline: number): Promise<errors.Result<T>> {
     const { timers } = this.deps
     const leftMs = Math.max(0, deadline - timers.monotonic()) + answerGraceMs
-    return await timerService.within(timers, this.deps.ask(host, send), leftMs) ?? errors.fail(silentHome(host, leftMs))
+    return await timerService.withTimeout(timers, this.deps.ask(host, send), leftMs) ?? errors.fail(silentHome(host, leftMs))
   }
 
   private waitBefore (failure: errors.Failure, attempt: number, deadline: number): number | undefined {
--- a/packages/programs/front/src/answer-stream.ts
+++ b/packages/programs/front/src/answer-stream.ts
@@ -34,7 +34,7 @@
   private readonly eventData: Buffer[] = []
   private readonly pendingChunks: Buffer[] = []
   private readonly dispatch: dispatch.Dispatch
-  private answerHead: sendHttp.Head | undefined
+  private answerHead: sendHttp.AnswerHead | undefined
   private lastEventId: string | undefined
   private isRelaying: boolean
   private hasAnswerEnded = false
@@ -97,14 +97,14 @@
     this.markFinished()
     const { mayHaveRun } = this
     this.dispatch.cancel()
-    this.ports.decisions.note({ event: 'streamBroken', request: this.req.attempt.id, ran: mayHaveRun, events: this.eventCount, reason: refusal?.type ?? 'clientGone' })
+    this.ports.decisions.record({ event: 'streamBroken', request: this.req.attempt.id, ran: mayHaveRun, events: this.eventCount, reason: refusal?.type ?? 'clientGone' })
     this.sink.onFailed?.()
     if (refusal === undefined) return
     if (this.req.reply.headSent) this.req.reply.abort()
     else this.req.reply.refuse(refusal)
   }
 
-  private onHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
+  private onHead (head: sendHttp.AnswerHead, upstream: types.UpstreamId): void {
     this.answerHead = head
     this.sink.onHead?.(upstream)
     this.flush()
@@ -140,7 +140,7 @@
     this.req.reply.onDrain(() => { this.dispatch.resume() })
   }
 
-  private completeAnswer (head: sendHttp.Head): void {
+  private completeAnswer (head: sendHttp.AnswerHead): void {
     if (head.status !== okStatus) {
       this.markFinished()
       this.req.reply.end()
--- a/packages/programs/front/src/check-answer.ts
+++ b/packages/programs/front/src/check-answer.ts
@@ -17,7 +17,7 @@
 }
 
 /** Returns `undefined` if the answer to the request may be relayed. */
-export function checkAnswer (facts: dialects.AnswerFacts, head: sendHttp.Head, request: turnLedger.TurnId): AnswerRejection | undefined {
+export function checkAnswer (facts: dialects.AnswerFacts, head: sendHttp.AnswerHead, request: turnLedger.TurnId): AnswerRejection | undefined {
   if (facts.requestId !== undefined && facts.requestId !== request) return rejectAsFaulty('answer has the id of another request', facts.requestId)
   // An unsigned refusal may lack the request id; a signed answer without it could belong to any request.
   if (facts.signed && facts.requestId === undefined) return rejectAsFaulty('signed answer has no request id', String(head.status))
--- a/packages/programs/front/src/check-head.ts
+++ b/packages/programs/front/src/check-head.ts
@@ -49,14 +49,14 @@
   const route = ports.routing.routes.find(req.headers.host ?? '', path)
   const service = route === undefined ? undefined : routeRequest.chooseService(route, Math.random)
   if (route === undefined || service === undefined) {
-    decisions.note({ event: 'unknownRoute', request: id, host: req.headers.host, path, version: routing.version })
+    decisions.record({ event: 'unknownRoute', request: id, host: req.headers.host, path, version: routing.version })
     return createRefusal({ type: 'unknownRoute' })
   }
   const presentedKey = dialect.presentedKey(req.rawHeaders)
   const identified = identifyClient.identifyCaller(ports.routing.accounts, route, presentedKey)
   if (identified.type === 'unknownKey') {
     const routingAgeMs = Math.round(ports.routing.ageMs)
-    decisions.note({ event: 'unknownKey', request: id, route: route.name, key: presentedKey.type, version: routing.version, routingAgeMs })
+    decisions.record({ event: 'unknownKey', request: id, route: route.name, key: presentedKey.type, version: routing.version, routingAgeMs })
     // A newer version of the routing may contain the key.
     if (routingAgeMs > routingStaleAfterMs && presentedKey.type === 'key') return createRefusal({ type: 'notReady', retryAfterMs: notReadyRetryAfterMs })
     return createRefusal({ type: 'unknownKey' })
--- a/packages/programs/front/src/confirm-refusal.ts
+++ b/packages/programs/front/src/confirm-refusal.ts
@@ -15,8 +15,8 @@
 
 /** Returns whether the store confirms within the timeout, in ms, that this process still owns the shard, so that its ledger is current. */
 export async function confirmOverBudget (ports: ConfirmRefusalPorts, shard: ownShards.OwnedShard, request: turnLedger.TurnRequest, admission: OverBudgetAdmission, timeoutMs: number): Promise<boolean> {
-  const confirmed = await timerService.within(ports.timers, shard.confirmOwnership(), timeoutMs)
-  ports.decisions.note({
+  const confirmed = await timerService.withTimeout(ports.timers, shard.confirmOwnership(), timeoutMs)
+  ports.decisions.record({
     event: 'turnRefused',
     reason: 'over budget',
     request: request.turn,
--- a/packages/programs/front/src/current-routing.ts
+++ b/packages/programs/front/src/current-routing.ts
@@ -83,11 +83,11 @@
       next = document.decode(value)
       accountDirectory = identifyClient.createAccountDirectory(next.accounts)
     } catch (err) {
-      decisions.note({ event: 'routingUnreadable', err, version: this.routing?.version })
+      decisions.record({ event: 'routingUnreadable', err, version: this.routing?.version })
       return
     }
     if (this.routing !== undefined && next.version <= this.routing.version) return
-    decisions.note({ event: 'routing', version: next.version, former: this.routing?.version, routes: next.routes.length, accounts: next.accounts?.length })
+    decisions.record({ event: 'routing', version: next.version, former: this.routing?.version, routes: next.routes.length, accounts: next.accounts?.length })
     this.routing = next
     this.accountDirectory = accountDirectory
     this.routeTable = routeRequest.createRouteTable(next.routes)
--- a/packages/programs/front/src/dialect.ts
+++ b/packages/programs/front/src/dialect.ts
@@ -72,7 +72,7 @@
   readonly upstreamHeaders: (raw: readonly string[], fields: UpstreamFields) => string[]
   /** Headers of a request that is forwarded to a peer, which decodes them as this process did. */
   readonly peerHeaders: (raw: readonly string[], fields: { readonly deadlineMs: number, readonly bodyBytes: number, readonly caller: identifyClient.Caller }) => string[]
-  readonly answerFacts: (head: sendHttp.Head) => AnswerFacts
+  readonly answerFacts: (head: sendHttp.AnswerHead) => AnswerFacts
   /** End-to-end headers of an answer, as alternating names and values. */
   readonly answerHeaders: (raw: readonly string[]) => string[]
 }
--- a/packages/programs/front/src/dispatch.test.ts
+++ b/packages/programs/front/src/dispatch.test.ts
@@ -46,22 +46,22 @@
       switch (behaviour) {
         case 'unresponsive': return
         case 'refusesConnections':
-          sink.fail({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' })
+          sink.onFailed({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' })
           return
         case 'resets':
-          sink.fail({ verdict: 'mayHaveRun', cause: 'reset', reused: true, detail: '' })
+          sink.onFailed({ verdict: 'mayHaveRun', cause: 'reset', reused: true, detail: '' })
           return
         case 'stalls':
         case 'truncates':
           nextFacts = facts.answers
-          sink.head({ status: 200, headers: {}, rawHeaders: [] })
-          sink.data(Buffer.from('id: 1'))
-          if (behaviour === 'truncates') sink.fail({ verdict: 'mayHaveRun', cause: 'truncated', reused: false, detail: '' })
+          sink.onHead({ status: 200, headers: {}, rawHeaders: [] })
+          sink.onData(Buffer.from('id: 1'))
+          if (behaviour === 'truncates') sink.onFailed({ verdict: 'mayHaveRun', cause: 'truncated', reused: false, detail: '' })
           return
         default:
           nextFacts = facts[behaviour]
-          sink.head({ status: behaviour === 'errors' ? 500 : 200, headers: {}, rawHeaders: [] })
-          if (behaviour === 'answers' || behaviour === 'errors') sink.end()
+          sink.onHead({ status: behaviour === 'errors' ? 500 : 200, headers: {}, rawHeaders: [] })
+          if (behaviour === 'answers' || behaviour === 'errors') sink.onComplete()
       }
     })
     return { cancel: () => { cancelled.push(request.address) }, pause: () => {}, resume: () => {} }
--- a/packages/programs/front/src/dispatch.ts
+++ b/packages/programs/front/src/dispatch.ts
@@ -40,7 +40,7 @@
 /** Receives the result of a dispatch. */
 export interface DispatchSink {
   /** Head of the first accepted answer: signed, and for this request id. */
-  readonly head: (head: sendHttp.Head, upstream: types.UpstreamId) => void
+  readonly head: (head: sendHttp.AnswerHead, upstream: types.UpstreamId) => void
   readonly data: (chunk: Buffer) => void
   /** Another upstream resumes the stream after the last complete event; discard any partial event. */
   readonly resumed?: () => void
@@ -168,7 +168,7 @@
       upstream.running -= 1
       this.releaseSlot = undefined
     }
-    this.ports.decisions.note({
+    this.ports.decisions.record({
       event: 'sent',
       request: this.req.attempt.id,
       attempt: this.attemptCount,
@@ -198,10 +198,10 @@
       headers: dialect.upstreamHeaders(this.req.rawHeaders, { deadlineMs: Math.floor(remainingMs), upstream: upstream.listed.name, bodyBytes: body.length, resumeAfter: this.options.resumeAfter?.(), caller: this.req.caller }),
       body,
       connectTimeoutMs,
-      confirmMs: undefined,
+      continueTimeoutMs: undefined,
       atMostOnce: this.req.route.repeatability === 'atMostOnce'
     }, {
-      head: (head) => {
+      onHead: (head) => {
         this.restartSilenceTimer(upstream, sentAt, streamSilenceMs)
         trackUpstreams.noteActivity(upstream, timers.monotonic())
         const rejection = checkAnswer.checkAnswer(dialect.answerFacts(head), head, this.req.attempt.id) ?? this.checkResumedAnswer(head)
@@ -219,7 +219,7 @@
         this.noteRejection(upstream, rejection.reason)
         this.onAttemptFailed(upstream, rejection.failure)
       },
-      data: (chunk) => {
+      onData: (chunk) => {
         const now = timers.monotonic()
         trackUpstreams.noteActivity(upstream, now)
         if (!isAccepted) return
@@ -227,7 +227,7 @@
         this.restartSilenceTimer(upstream, now, streamSilenceMs)
         this.sink.data(chunk)
       },
-      end: () => {
+      onComplete: () => {
         if (!isAccepted) return
         this.silenceTimer?.cancel()
         noteFirstBytes()
@@ -235,7 +235,7 @@
         trackUpstreams.noteSuccess(upstream)
         this.sink.end()
       },
-      fail: (failure) => {
+      onFailed: (failure) => {
         this.silenceTimer?.cancel()
         health.noteFailure(upstream)
         const attemptFailure: errors.Failure = failure.verdict === 'notRun'
@@ -254,7 +254,7 @@
   }
 
   /** Passes on the head of the first answer. The head of a resumed stream is dropped, as the client already has one. */
-  private relayHead (head: sendHttp.Head, upstream: types.UpstreamId): void {
+  private relayHead (head: sendHttp.AnswerHead, upstream: types.UpstreamId): void {
     const { hasHead: isResumed } = this
     this.hasHead = true
     if (isResumed) this.sink.resumed?.()
@@ -270,7 +270,7 @@
   }
 
   /** Rejects the answer to a resumed stream if it is not a stream, that is, if its status is not 200. */
-  private checkResumedAnswer (head: sendHttp.Head): checkAnswer.AnswerRejection | undefined {
+  private checkResumedAnswer (head: sendHttp.AnswerHead): checkAnswer.AnswerRejection | undefined {
     if (!this.hasHead || head.status === okStatus) return undefined
     return checkAnswer.rejectAsFaulty('stream was not resumed', String(head.status))
   }
@@ -301,7 +301,7 @@
       this.restartSilenceTimer(upstream, timers.monotonic(), timeoutMs)
       return
     }
-    this.ports.decisions.note({ event: 'upstreamSilent', request: this.req.attempt.id, upstream: upstream.listed.id, afterMs: Math.round(timers.monotonic() - waitStartedAt) })
+    this.ports.decisions.record({ event: 'upstreamSilent', request: this.req.attempt.id, upstream: upstream.listed.id, afterMs: Math.round(timers.monotonic() - waitStartedAt) })
     if (!isFailoverAllowed) return
     this.exchange?.cancel()
     this.onAttemptFailed(upstream, { tag: 'upstreamUnavailable', verdict: 'mayHaveRun', message: 'no data within the silence timeout', retryAfterMs: 0 })
@@ -333,7 +333,7 @@
       deadline: this.req.deadlineAt,
       random: Math.random
     }, { maxAttempts: this.req.route.maxAttempts, firstWaitMs: 0, maxWaitMs: 0 })
-    this.ports.decisions.note({
+    this.ports.decisions.record({
       event: 'sendFailed',
       request: this.req.attempt.id,
       upstream: upstream.listed.id,
@@ -358,5 +358,5 @@
 export function toRefusal ({ failure, mayHaveRun }: DispatchFailure): inbound.Refusal {
   if (failure.tag === 'timeout') return mayHaveRun ? { type: 'timeout' } : { type: 'upstreamsFull', retryAfterMs: queueFullRetryMs }
   if (mayHaveRun) return { type: 'answerLost', detail: failure.message }
-  return { type: 'upstreamsFull', retryAfterMs: errors.retryAfterMs(failure) || queueFullRetryMs }
+  return { type: 'upstreamsFull', retryAfterMs: errors.getRetryAfterMs(failure) || queueFullRetryMs }
 }
--- a/packages/programs/front/src/find-chain.ts
+++ b/packages/programs/front/src/find-chain.ts
@@ -59,7 +59,7 @@
   }
   const confirmed = await Promise.all(servingShards.map(async (shard) => {
     const commit = await shard.confirmOwnership()
-    return commit.type === 'committed' ? [shardLog.partitionName(shard.partition)] : []
+    return commit.type === 'committed' ? [shardLog.formatPartitionName(shard.partition)] : []
   }))
   return { type: 'absent', partitions: confirmed.flat() }
 }
--- a/packages/programs/front/src/forward-turn.test.ts
+++ b/packages/programs/front/src/forward-turn.test.ts
@@ -58,9 +58,9 @@
 
 tap.test('an owner that keeps sending its answer is not pinged', async (t) => {
   const { timers, outcome, replyEvents, pingCount } = fixture(false, (sink, fakeTimers) => {
-    fakeTimers.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
-    for (const at of [300, 600, 900]) fakeTimers.after(at, () => { sink.data(Buffer.from('x')) })
-    fakeTimers.after(1_000, () => { sink.end() })
+    fakeTimers.after(100, () => { sink.onHead({ status: 200, headers: {}, rawHeaders: [] }) })
+    for (const at of [300, 600, 900]) fakeTimers.after(at, () => { sink.onData(Buffer.from('x')) })
+    fakeTimers.after(1_000, () => { sink.onComplete() })
   })
   await timers.advanceAsync(1_200)
   t.same(await outcome, { type: 'answered' })
@@ -69,7 +69,7 @@
 
 tap.test('an answer is aborted when its owner falls silent after the head', async (t) => {
   const { timers, outcome, replyEvents } = fixture(false, (sink, fakeTimers) => {
-    fakeTimers.after(100, () => { sink.head({ status: 200, headers: {}, rawHeaders: [] }) })
+    fakeTimers.after(100, () => { sink.onHead({ status: 200, headers: {}, rawHeaders: [] }) })
   })
   await timers.advanceAsync(1_500)
   t.same(await outcome, { type: 'answered' })
--- a/packages/programs/front/src/forward-turn.ts
+++ b/packages/programs/front/src/forward-turn.ts
@@ -50,11 +50,11 @@
       headers: [...dialect.peerHeaders(req.rawHeaders, { deadlineMs: remainingMs, bodyBytes: req.body.length, caller: req.caller }), ...forwardHeader.encode(req)],
       body: req.body,
       connectTimeoutMs,
-      confirmMs: confirmTimeoutMs,
+      continueTimeoutMs: confirmTimeoutMs,
       // The owner's `100 Continue` shows that the connection is alive.
       atMostOnce: false
     }, {
-      head: (head) => {
+      onHead: (head) => {
         lastReceivedAt = timers.monotonic()
         if (forwardHeader.isNotOwnerRefusal(head.headers)) {
           exchange.cancel()
@@ -64,17 +64,17 @@
         isRelaying = true
         reply.head(head.status, dialect.answerHeaders(head.rawHeaders))
       },
-      data: (chunk) => {
+      onData: (chunk) => {
         lastReceivedAt = timers.monotonic()
         if (reply.data(chunk)) return
         exchange.pause()
         reply.onDrain(() => { exchange.resume() })
       },
-      end: () => {
+      onComplete: () => {
         reply.end()
         finish({ type: 'answered' })
       },
-      fail: (failure) => { onFail(failure) }
+      onFailed: (failure) => { onFail(failure) }
     })
     const finish = (outcome: ForwardOutcome): void => {
       isFinished = true
@@ -95,7 +95,7 @@
         finish({ type: 'unreachable', detail: failure.detail, ended: failure.cause === 'refused' })
         return
       }
-      ports.decisions.note({ event: 'peerAnswerLost', request: req.attempt.id, peer: address, cause: failure.cause, detail: failure.detail })
+      ports.decisions.record({ event: 'peerAnswerLost', request: req.attempt.id, peer: address, cause: failure.cause, detail: failure.detail })
       if (isRelaying) reply.abort()
       else reply.refuse({ type: 'answerLost', detail: 'the connection to the owner of the program was lost' })
       finish({ type: 'answered' })
--- a/packages/programs/front/src/front.ts
+++ b/packages/programs/front/src/front.ts
@@ -75,7 +75,7 @@
 
 /** One front process, from start to exit. */
 export class Front {
-  private readonly sender = sendHttp.createSender({ idleMs: idleConnectionMs, freshMs: freshConnectionMs })
+  private readonly sender = sendHttp.createSender({ idleTimeoutMs: idleConnectionMs, shortIdleTimeoutMs: freshConnectionMs })
   private readonly inFlightRequests: inFlightRequests.InFlightRequests
   private readonly peerCallPorts: peerCalls.PeerCallPorts
   private readonly shards: ownShards.ShardOwner
@@ -156,7 +156,7 @@
     ])
     this.routing.start()
     this.shards.start()
-    this.ports.decisions.note({ event: 'started', client: this.cfg.clientAddress, peer: this.cfg.peerAddress, zone: this.cfg.availabilityZone, settings: this.ports.settingsFile })
+    this.ports.decisions.record({ event: 'started', client: this.cfg.clientAddress, peer: this.cfg.peerAddress, zone: this.cfg.availabilityZone, settings: this.ports.settingsFile })
   }
 
   /** Shuts down gracefully: hands over the shards, stops accepting clients, and resolves when the in-flight requests have ended or the time is up. */
@@ -165,7 +165,7 @@
     if (this.isStopping) return
     this.isStopping = true
     const stopStartedAt = timers.monotonic()
-    decisions.note({ event: 'stopping', underWay: this.inFlightRequests.count })
+    decisions.record({ event: 'stopping', underWay: this.inFlightRequests.count })
     await this.shards.leave()
     const shutdownTimeoutMs = this.cfg.graceMs - shutdownMarginMs
     const drainDeadlineAt = stopStartedAt + shutdownTimeoutMs
@@ -175,7 +175,7 @@
     while (this.inFlightRequests.count > 0 && timers.monotonic() < drainDeadlineAt) await timerService.sleep(timers, drainPollMs)
     // A request that is read after this point would run and be cut off when the process exits.
     closeServers([this.clientServer, this.peerServer])
-    decisions.note({ event: 'stopped', underWay: this.inFlightRequests.count, tookMs: Math.round(timers.monotonic() - stopStartedAt) })
+    decisions.record({ event: 'stopped', underWay: this.inFlightRequests.count, tookMs: Math.round(timers.monotonic() - stopStartedAt) })
   }
 
   /** Stops at once without handing over shards, as tests need it. */
--- a/packages/programs/front/src/in-flight-requests.ts
+++ b/packages/programs/front/src/in-flight-requests.ts
@@ -29,6 +29,6 @@
     this.inFlightCount += 1
     res.once('close', () => { this.inFlightCount -= 1 })
     reply.onHead(() => { firstMs = measureElapsedMs() })
-    reply.onEnd((end) => { decisions.note({ event: 'ended', request: attempt.id, program: attempt.program, kind, ...end, firstMs, tookMs: measureElapsedMs() }) })
+    reply.onEnd((end) => { decisions.record({ event: 'ended', request: attempt.id, program: attempt.program, kind, ...end, firstMs, tookMs: measureElapsedMs() }) })
   }
 }
--- a/packages/programs/front/src/limit-gate.ts
+++ b/packages/programs/front/src/limit-gate.ts
@@ -22,7 +22,7 @@
   const result = pendingResult instanceof Promise ? await pendingResult : pendingResult
   if (result.type === 'limited') {
     const { by, requestsLeft, retryAfterMs } = result
-    decisions.note({ event: 'overLimit', request: attempt.id, program: attempt.program, account, route: route.name, part: position, by, requestsLeft: Math.round(requestsLeft), retryAfterMs, version })
+    decisions.record({ event: 'overLimit', request: attempt.id, program: attempt.program, account, route: route.name, part: position, by, requestsLeft: Math.round(requestsLeft), retryAfterMs, version })
     reply.refuse({ type: 'overLimit', retryAfterMs })
     return false
   }
--- a/packages/programs/front/src/meter-channel.ts
+++ b/packages/programs/front/src/meter-channel.ts
@@ -259,7 +259,7 @@
 
   private noteFailure (batch: readonly BatchItem[], why: string): void {
     const now = this.ports.timers.monotonic()
-    if (this.unreachableSince === undefined) this.ports.decisions.note({ event: 'meterOwnerAway', group: this.group, why })
+    if (this.unreachableSince === undefined) this.ports.decisions.record({ event: 'meterOwnerAway', group: this.group, why })
     this.unreachableSince ??= now
     for (const { entry, pending, limit, report } of batch) {
       this.restoreUnreported(entry, report)
--- a/packages/programs/front/src/peer-calls.ts
+++ b/packages/programs/front/src/peer-calls.ts
@@ -135,14 +135,14 @@
 /** Calls a peer and, if there is no answer within the timeout, in ms, reports whether its process has ended. */
 export async function tryCallPeer<Answer> (ports: PeerCallPorts, address: string, call: PeerCall, timeoutMs: number): Promise<CallOutcome<Answer>> {
   const body = encodeMessage(call)
-  const outcome = await sendHttp.sendWhole(ports.sender, ports.timers, {
+  const outcome = await sendHttp.sendBuffered(ports.sender, ports.timers, {
     address,
     method: 'PUT',
     path: peerCallPath,
     headers: ['Host', address, 'Content-Length', String(body.length)],
     body,
     connectTimeoutMs,
-    confirmMs: undefined,
+    continueTimeoutMs: undefined,
     atMostOnce: false
   }, timeoutMs)
   if (outcome.type === 'failed') return { type: 'none', ended: outcome.failure.cause === 'refused' }
@@ -155,7 +155,7 @@
   try {
     return msgpack.decode(body) as Answer
   } catch (err) {
-    ports.decisions.note({ event: 'peerCallFailed', err })
+    ports.decisions.record({ event: 'peerCallFailed', err })
     return undefined
   }
 }
--- a/packages/programs/front/src/peer-failure-detector.test.ts
+++ b/packages/programs/front/src/peer-failure-detector.test.ts
@@ -34,7 +34,7 @@
   silent.clear()
   await timers.advanceAsync(1_500)
   t.same(isolationChanges, [true, false])
-  t.equal(timers.nextDue(), undefined, 'no more pings after the recovery')
+  t.equal(timers.getNextDueMs(), undefined, 'no more pings after the recovery')
 })
 
 tap.test('peers that have ended do not isolate the others', async (t) => {
--- a/packages/programs/front/src/peer-failure-detector.ts
+++ b/packages/programs/front/src/peer-failure-detector.ts
@@ -112,7 +112,7 @@
   private setIsolated (isIsolated: boolean): void {
     this.isolated = isIsolated
     this.contradictedSince = undefined
-    this.ports.decisions.note({ event: isIsolated ? 'cutOff' : 'reachable', peers: this.ports.peers().length })
+    this.ports.decisions.record({ event: isIsolated ? 'cutOff' : 'reachable', peers: this.ports.peers().length })
     this.ports.onIsolationChanged(isIsolated)
   }
 }
--- a/packages/programs/front/src/peer-listener.ts
+++ b/packages/programs/front/src/peer-listener.ts
@@ -77,7 +77,7 @@
     answerCall(ports, body).then(
       (answer) => { reply.send(200, [], peerCalls.encodeAnswer(answer)) },
       (err: unknown) => {
-        ports.decisions.note({ event: 'peerCallFailed', err })
+        ports.decisions.record({ event: 'peerCallFailed', err })
         reply.refuse({ type: 'answerLost', detail: 'internal' })
       }
     )
--- a/packages/programs/front/src/program-admission.ts
+++ b/packages/programs/front/src/program-admission.ts
@@ -43,7 +43,7 @@
     const load = trackUpstreams.computeServiceLoad({ candidates: upstreams.getByService(service), othersRunning: (id) => peerLoads.getRunning(id), now: timers.monotonic() })
     const holdsAllSlots = this.holdsAllSlots(service)
     if (admitProgram.admitByLoad({ load, holdsAllSlots, random })) return true
-    decisions.note({ event: 'turnRefused', reason: 'the engines have too much to do for a new program', request: request.turn, program: request.program, detail: { load: Math.round(load * 100) / 100, peers: peerLoads.peerCount, holdsAllSlots } })
+    decisions.record({ event: 'turnRefused', reason: 'the engines have too much to do for a new program', request: request.turn, program: request.program, detail: { load: Math.round(load * 100) / 100, peers: peerLoads.peerCount, holdsAllSlots } })
     return false
   }
 
--- a/packages/programs/front/src/reserve-turn.ts
+++ b/packages/programs/front/src/reserve-turn.ts
@@ -33,11 +33,11 @@
     // A turn that continues another one is retained, and runs at the owner of its program without a reservation call.
     case 'unknownPrevious': return { type: 'notOwner' }
     case 'admitted': {
-      ports.decisions.note({ event: 'tokensReserved', request: request.turn, program: request.program, epoch: shard.epoch, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
+      ports.decisions.record({ event: 'tokensReserved', request: request.turn, program: request.program, epoch: shard.epoch, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
       const pendingCommit = admission.writes.length === 0 ? undefined : shard.commit(admission.writes)
       const reserved: peerCalls.ReserveAnswer = { type: 'reserved', holder: ports.promptLocations.findAffinity({ promptParts: call.promptParts, previous: undefined }).holder }
       if (admission.isCovered) return reserved
-      const commit = storeOutage.isStoreUnresponsive(shard) ? undefined : await timerService.within(ports.timers, pendingCommit ?? shard.confirmOwnership(), storeTimeoutMs)
+      const commit = storeOutage.isStoreUnresponsive(shard) ? undefined : await timerService.withTimeout(ports.timers, pendingCommit ?? shard.confirmOwnership(), storeTimeoutMs)
       if (commit?.type === 'committed') return reserved
       shard.ledger.settleTurn(request, { type: 'notRun' }, ports.timers.now() as types.EpochMs)
       return commit?.type === 'lost' ? { type: 'notOwner' } : { type: 'later', reason: 'storeAway', retryAfterMs: storeOutage.outageRetryMs }
--- a/packages/programs/front/src/route-turn.ts
+++ b/packages/programs/front/src/route-turn.ts
@@ -56,7 +56,7 @@
 export async function routeTurn (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields): Promise<void> {
   const { timers, shards } = ports
   if (ports.failureDetector.isIsolated) {
-    ports.decisions.note({ event: 'turnRefused', reason: 'cut off from the owners', request: req.attempt.id, program: turn.program, detail: {} })
+    ports.decisions.record({ event: 'turnRefused', reason: 'cut off from the owners', request: req.attempt.id, program: turn.program, detail: {} })
     req.reply.refuse({ type: 'peerUnreachable', retryAfterMs: serveTurn.shardRetryMs })
     return
   }
@@ -76,7 +76,7 @@
     await timerService.sleep(timers, pollIntervalMs)
   } while (!req.reply.over && timers.monotonic() - startedAt < maxHandoverWaitMs)
   const retryAfterMs = estimateRetryMs(ports, partition)
-  ports.decisions.note({ event: 'turnRefused', reason: 'nobody serves the shard', request: req.attempt.id, program: turn.program, detail: { partition, waitedMs: Math.round(timers.monotonic() - startedAt), ownersAgeMs: Math.round(shards.ownersAgeMs), last: lastStep } })
+  ports.decisions.record({ event: 'turnRefused', reason: 'nobody serves the shard', request: req.attempt.id, program: turn.program, detail: { partition, waitedMs: Math.round(timers.monotonic() - startedAt), ownersAgeMs: Math.round(shards.ownersAgeMs), last: lastStep } })
   req.reply.refuse({ type: 'shardMoving', retryAfterMs })
 }
 
@@ -145,7 +145,7 @@
 
 /** Forwards a retained turn, which only the owner of its program may serve. */
 async function forwardToOwner (ports: RouteTurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, member: string): Promise<RoutingStep | UnresponsiveOwner> {
-  ports.decisions.note({ event: 'passedOn', request: req.attempt.id, program: turn.program, owner: member, ownersAgeMs: Math.round(ports.shards.ownersAgeMs) })
+  ports.decisions.record({ event: 'passedOn', request: req.attempt.id, program: turn.program, owner: member, ownersAgeMs: Math.round(ports.shards.ownersAgeMs) })
   const outcome = await forwardTurn.forwardTurn(ports, req, memberName.parsePeerAddress(member))
   switch (outcome.type) {
     case 'answered': return { type: 'done' }
--- a/packages/programs/front/src/run-front.ts
+++ b/packages/programs/front/src/run-front.ts
@@ -22,7 +22,7 @@
   readonly dialect: dialects.Dialect
   readonly documents: front.DocumentFormat
   readonly metrics: decisionLog.DecisionMetrics
-  readonly lines: loggers.BoundedLines
+  readonly lines: loggers.BoundedLineWriter
   readonly timers: timerService.TimerService
   readonly signals: processSignals.ProcessSignals
 }
@@ -46,7 +46,7 @@
   }
   const cfg = parsed.value
   const logger = loggers.createLogger({ name: 'eelgrasswind-front', host: cfg.host as types.HostId, level: cfg.logLevel, stream: toStream(lines) })
-  const decisions = decisionLog.createDecisionLog({ logger, count: metrics.count, now: timers.monotonic })
+  const decisions = decisionLog.createDecisionLog({ logger, countDecision: metrics.countDecision, now: timers.monotonic })
   const log = measuredLog.createMeasuredLog(ports.createLog(cfg), metrics, timers)
   const frontProcess = new front.Front(cfg, { log, dialect: ports.dialect, documents: ports.documents, timers, decisions, settingsFile })
   addGauges(metrics, frontProcess, lines)
@@ -61,24 +61,24 @@
     try {
       await frontProcess.stop()
     } catch (err) {
-      decisions.note({ event: 'failedToStop', err })
+      decisions.record({ event: 'failedToStop', err })
       code = failedStopExitCode
     }
-    await timerService.within(ports.timers, ports.lines.flush(), flushTimeoutMs)
+    await timerService.withTimeout(ports.timers, ports.lines.flush(), flushTimeoutMs)
     process.exit(code)
   }
-  ports.signals.handle({
-    end: () => { void shutDown() },
-    reload: () => { reload(ports, decisions) },
-    ignored: (signal) => { decisions.note({ event: 'signalIgnored', signal }) }
+  ports.signals.setHandlers({
+    onShutdown: () => { void shutDown() },
+    onReload: () => { reload(ports, decisions) },
+    onIgnored: (signal) => { decisions.record({ event: 'signalIgnored', signal }) }
   })
   // A bug in the handling of one request must not stop the others: it is logged, and the process keeps running.
-  process.on('unhandledRejection', (err) => { decisions.note({ event: 'unexpected', err }) })
+  process.on('unhandledRejection', (err) => { decisions.record({ event: 'unexpected', err }) })
 }
 
 /** Addresses and shards can't change in a running process: the new settings are validated now and take effect after a restart. */
 function reload (ports: RunFrontPorts, decisions: decisionLog.DecisionLog): void {
-  decisions.note({ event: 'reload', settings: ports.settingsFile, outcome: checkSettings(ports) })
+  decisions.record({ event: 'reload', settings: ports.settingsFile, outcome: checkSettings(ports) })
 }
 
 function checkSettings (ports: RunFrontPorts): string {
@@ -90,18 +90,18 @@
   }
 }
 
-function addGauges (metrics: decisionLog.DecisionMetrics, frontProcess: front.Front, lines: loggers.BoundedLines): void {
-  metrics.gauge('shards_owned', 'Shards that this process serves.', () => frontProcess.servedShardCount)
-  metrics.gauge('requests_under_way', 'In-flight requests.', () => frontProcess.inFlightRequestCount)
-  metrics.gauge('routing_version', 'Version of the current routing; 0 before the first.', () => frontProcess.routingVersion)
-  metrics.gauge('upstreams', 'Upstreams in the list.', () => frontProcess.upstreamCount)
-  metrics.gauge('lines_dropped', 'Log lines that were dropped because they were not read in time.', lines.dropped)
+function addGauges (metrics: decisionLog.DecisionMetrics, frontProcess: front.Front, lines: loggers.BoundedLineWriter): void {
+  metrics.registerGauge('shards_owned', 'Shards that this process serves.', () => frontProcess.servedShardCount)
+  metrics.registerGauge('requests_under_way', 'In-flight requests.', () => frontProcess.inFlightRequestCount)
+  metrics.registerGauge('routing_version', 'Version of the current routing; 0 before the first.', () => frontProcess.routingVersion)
+  metrics.registerGauge('upstreams', 'Upstreams in the list.', () => frontProcess.upstreamCount)
+  metrics.registerGauge('lines_dropped', 'Log lines that were dropped because they were not read in time.', lines.getDroppedCount)
 }
 
 function serveMetrics (metrics: decisionLog.DecisionMetrics, address: string): void {
   const [host, port] = address.split(':')
   const server = http.createServer((_req, res) => {
-    metrics.text().then((text) => {
+    metrics.renderText().then((text) => {
       res.writeHead(200, { 'Content-Type': metrics.contentType })
       res.end(text)
     }, () => { res.destroy() })
@@ -109,7 +109,7 @@
   server.listen(Number(port), host)
 }
 
-function toStream (lines: loggers.BoundedLines): NodeJS.WritableStream {
+function toStream (lines: loggers.BoundedLineWriter): NodeJS.WritableStream {
   const stream: Pick<NodeJS.WritableStream, 'write'> = {
     write: (line: string | Uint8Array) => {
       lines.write(String(line))
--- a/packages/programs/front/src/serve-call.ts
+++ b/packages/programs/front/src/serve-call.ts
@@ -16,7 +16,7 @@
 export function serveCall (ports: dispatch.DispatchPorts, req: inbound.InboundRequest): void {
   const { reply } = req
   const { timers } = ports
-  let head: sendHttp.Head | undefined
+  let head: sendHttp.AnswerHead | undefined
   const chunks: Buffer[] = []
   const dispatched = new dispatch.Dispatch(ports, req, { body: req.body, affinity: undefined }, {
     head: (answer) => { head = answer },
@@ -33,7 +33,7 @@
   const deadlineTimer = timers.after(req.deadlineAt - timers.monotonic(), () => {
     const { mayHaveRun: ran } = dispatched
     dispatched.cancel()
-    ports.decisions.note({ event: 'timedOut', request: req.attempt.id, ran })
+    ports.decisions.record({ event: 'timedOut', request: req.attempt.id, ran })
     reply.refuse({ type: 'timeout' })
   })
   reply.onGone(() => {
--- a/packages/programs/front/src/serve-turn.test.ts
+++ b/packages/programs/front/src/serve-turn.test.ts
@@ -31,8 +31,8 @@
   const sentRequests: string[] = []
   const send: sendHttp.Sender['send'] = (_request, sink) => {
     sentRequests.push(currentRequest)
-    sink.head({ status: 200, headers: {}, rawHeaders: [] })
-    sink.data(Buffer.from(event))
+    sink.onHead({ status: 200, headers: {}, rawHeaders: [] })
+    sink.onData(Buffer.from(event))
     return { cancel () {}, pause () {}, resume () {} }
   }
   const ports = {
--- a/packages/programs/front/src/serve-turn.ts
+++ b/packages/programs/front/src/serve-turn.ts
@@ -43,7 +43,7 @@
     retainMs: req.route.retain?.retainMs ?? 0
   }
   if (storeOutage.isStoreUnresponsive(shard) && !ports.deferredTurns.shouldRunNow(request.program, request.previous, ports.timers.monotonic())) {
-    ports.decisions.note({ event: 'turnRefused', reason: 'the store does not answer', request: req.attempt.id, program: turn.program, epoch: shard.epoch, detail: { unansweredMs: Math.round(shard.unansweredMs) } })
+    ports.decisions.record({ event: 'turnRefused', reason: 'the store does not answer', request: req.attempt.id, program: turn.program, epoch: shard.epoch, detail: { unansweredMs: Math.round(shard.unansweredMs) } })
     req.reply.refuse({ type: 'storeAway', retryAfterMs: storeOutage.outageRetryMs })
     return
   }
@@ -74,7 +74,7 @@
 /** Handles a previous turn that this shard doesn't have: imports its chain from another program's shard, or refuses the turn. */
 async function continueFromOtherShard (ports: TurnPorts, req: inbound.InboundRequest, turn: dialects.TurnFields, request: turnLedger.TurnRequest, shard: ownShards.OwnedShard): Promise<void> {
   const previous = request.previous
-  const found = previous === undefined ? undefined : await timerService.within(ports.timers, findChain.findChainAtOwners(ports, { turn: previous, account: request.account }), confirmTimeoutMs)
+  const found = previous === undefined ? undefined : await timerService.withTimeout(ports.timers, findChain.findChainAtOwners(ports, { turn: previous, account: request.account }), confirmTimeoutMs)
   if (found?.type === 'found' && shard.state === 'serving') {
     const importedWrites = shard.ledger.importChain(found.chain)
     const admission = shard.ledger.admitTurn(request, ports.timers.now() as types.EpochMs)
@@ -83,7 +83,7 @@
       return
     }
   }
-  ports.decisions.note({ event: 'turnRefused', reason: 'the turn to continue from was not found', request: request.turn, program: request.program, previous, epoch: shard.epoch, detail: { found } })
+  ports.decisions.record({ event: 'turnRefused', reason: 'the turn to continue from was not found', request: request.turn, program: request.program, previous, epoch: shard.epoch, detail: { found } })
   if (found?.type === 'absent') req.reply.refuse({ type: 'unknownTurn' })
   else req.reply.refuse({ type: 'shardMoving', retryAfterMs: shardRetryMs })
 }
@@ -109,7 +109,7 @@
       // Before the head is sent, the client has received no output: none arrived, or it was held back until the reservation is stored.
       onFailed: () => { this.settleInMemory({ type: req.reply.headSent ? 'broken' : 'notRun' }) }
     })
-    ports.decisions.note({ event: 'turnAdmitted', request: req.attempt.id, program: turn.program, previous: turn.previous, epoch: shard.epoch, promptBytes: body.length, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
+    ports.decisions.record({ event: 'turnAdmitted', request: req.attempt.id, program: turn.program, previous: turn.previous, epoch: shard.epoch, promptBytes: body.length, covered: admission.isCovered, budgetTokens: request.budgetTokens, maxTokens: request.maxTokens })
   }
 
   /** Starts the turn. `importedWrites` are the ledger writes of a chain imported from another shard. */
--- a/packages/programs/front/src/serve-unretained.test.ts
+++ b/packages/programs/front/src/serve-unretained.test.ts
@@ -21,7 +21,7 @@
   const calls: peerCalls.PeerCall[] = []
   const send: sendHttp.Sender['send'] = (request, sink) => {
     calls.push(peerCalls.decodeCall(Buffer.from(request.body)))
-    if (answer === 'refused') timers.after(1, () => { sink.fail({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' }) })
+    if (answer === 'refused') timers.after(1, () => { sink.onFailed({ verdict: 'notRun', cause: 'refused', reused: false, detail: '' }) })
     return { cancel () {}, pause () {}, resume () {} }
   }
   const ports = { sender: { send, close () {} }, timers, decisions: decisionLog.createSilentDecisionLog() } as unknown as serveUnretained.UnretainedPorts
--- a/packages/programs/front/src/settle-turn.ts
+++ b/packages/programs/front/src/settle-turn.ts
@@ -30,14 +30,14 @@
   while (ports.timers.monotonic() < deadlineAt) {
     const outcome = await settleAtOwner(ports, ports.shards.locate(partition), request, end)
     if (outcome.type === 'kept') {
-      ports.decisions.note({ event: 'turnSettledElsewhere', request: request.turn, program: request.program })
+      ports.decisions.record({ event: 'turnSettledElsewhere', request: request.turn, program: request.program })
       return true
     }
     if (outcome.type === 'unknown') break
     void ports.shards.refreshOwners()
     await timerService.sleep(ports.timers, retryIntervalMs)
   }
-  ports.decisions.note({ event: 'turnNotKept', request: request.turn, program: request.program, epoch: shard.epoch })
+  ports.decisions.record({ event: 'turnNotKept', request: request.turn, program: request.program, epoch: shard.epoch })
   return false
 }
 
--- a/packages/programs/front/src/upstream-directory.test.ts
+++ b/packages/programs/front/src/upstream-directory.test.ts
@@ -18,7 +18,7 @@
   const timers = timerService.createManualTimers()
   const upstreams = new trackUpstreams.UpstreamList()
   const decisions: decisionLog.Decision[] = []
-  const directory = new upstreamDirectory.UpstreamDirectory({ upstreams, timers, decisions: { note: (decision) => { decisions.push(decision) } }, decode, sinceRecoveryMs: () => sinceRecoveryMs })
+  const directory = new upstreamDirectory.UpstreamDirectory({ upstreams, timers, decisions: { record: (decision) => { decisions.push(decision) } }, decode, sinceRecoveryMs: () => sinceRecoveryMs })
   const put = (key: string, text: string): void => { directory.put(key, Buffer.from(text)) }
   const ids = (): string[] => upstreams.getByService(service).map(({ listed }) => listed.id)
   return { timers, upstreams, decisions, directory, put, ids }
--- a/packages/programs/front/src/upstream-directory.ts
+++ b/packages/programs/front/src/upstream-directory.ts
@@ -57,7 +57,7 @@
     upstreams.put(listed)
     this.incarnations.set(key, listed.id)
     if (existing !== undefined && existing.listed.leaving === listed.leaving) return
-    decisions.note({ event: 'upstream', upstream: listed.id, service: listed.service, address: listed.address, leaving: listed.leaving })
+    decisions.record({ event: 'upstream', upstream: listed.id, service: listed.service, address: listed.address, leaving: listed.leaving })
   }
 
   remove (key: string): void {
@@ -66,7 +66,7 @@
     const { timers, decisions, sinceRecoveryMs } = this.ports
     if (id === undefined || this.pendingRemovals.has(key)) return
     const graceMs = Math.max(0, recoveryGraceMs - sinceRecoveryMs())
-    decisions.note({ event: 'upstreamGone', upstream: id, graceMs: Math.round(graceMs) })
+    decisions.record({ event: 'upstreamGone', upstream: id, graceMs: Math.round(graceMs) })
     if (graceMs === 0) {
       this.removeNow(key)
       return
@@ -96,7 +96,7 @@
     if (this.decodeErrors.get(key) === reason) return
     if (this.decodeErrors.size >= maxUnreadableEntries) this.decodeErrors.clear()
     this.decodeErrors.set(key, reason)
-    this.ports.decisions.note({ event: 'upstreamUnreadable', key, err })
+    this.ports.decisions.record({ event: 'upstreamUnreadable', key, err })
   }
 
   private removeNow (key: string): void {
--- a/packages/programs/front/src/upstream-health.ts
+++ b/packages/programs/front/src/upstream-health.ts
@@ -65,7 +65,7 @@
   private applyMark (report: trackUpstreams.MarkReport, source: 'own' | 'peer'): void {
     const ejection = this.outlierDetector.applyReport(report, this.ports.countProcesses(), this.ports.timers.monotonic())
     if (ejection === undefined) return
-    this.ports.decisions.note({ event: 'upstreamEjected', ...ejection, marks: roundToTenth(ejection.marks), requests: roundToTenth(ejection.requests), source })
+    this.ports.decisions.record({ event: 'upstreamEjected', ...ejection, marks: roundToTenth(ejection.marks), requests: roundToTenth(ejection.requests), source })
   }
 }
 
--- a/packages/programs/guard-upstream/src/dispatch-records.ts
+++ b/packages/programs/guard-upstream/src/dispatch-records.ts
@@ -86,7 +86,7 @@
       case 'waiting': return { type: 'join', done: state.done }
       case 'running': return { type: 'join', done: state.done }
       case 'ended': return { type: 'join', done: Promise.resolve(state.result) }
-      default: return errors.unreachable(state)
+      default: return errors.assertNever(state)
     }
   }
 
@@ -121,7 +121,7 @@
         state.cancel()
         return { type: 'sealed' }
       case 'ended': return endedState(state.result, wanted)
-      default: return errors.unreachable(state)
+      default: return errors.assertNever(state)
     }
   }
 
--- a/packages/programs/guard-upstream/src/door.ts
+++ b/packages/programs/guard-upstream/src/door.ts
@@ -29,7 +29,7 @@
 
 export async function askLoad (door: Door): Promise<void> {
   if (door.target.type !== 'engine') return
-  const load = await door.target.client.load()
+  const load = await door.target.client.getLoad()
   if (load.ok) door.reported = load.value
 }
 
--- a/packages/programs/guard-upstream/src/prefix-holds.ts
+++ b/packages/programs/guard-upstream/src/prefix-holds.ts
@@ -64,7 +64,7 @@
   }
 
   async function sweep (): Promise<void> {
-    const held = await engine.heldSessions()
+    const held = await engine.listHeldSessions()
     if (!held.ok) return
     let released = 0
     for (const { session } of held.value) {
--- a/packages/programs/guard-upstream/src/send-dispatch.ts
+++ b/packages/programs/guard-upstream/src/send-dispatch.ts
@@ -49,7 +49,7 @@
   switch (payload.type) {
     case 'model': return await toEngine(door, req, payload, options, now)
     case 'service': return await toService(door, req, payload, options)
-    default: return errors.unreachable(payload)
+    default: return errors.assertNever(payload)
   }
 }
 
@@ -68,7 +68,7 @@
     if (!timedOut) return result
     return errors.fail({ tag: 'timeout', verdict: 'mayHaveRun', message: 'no whole answer in time', afterMs: req.timeoutMs })
   } catch (err) {
-    return errors.fail(errors.failureFrom(err))
+    return errors.fail(errors.toFailure(err))
   } finally {
     limit.cancel()
     options.signal.removeEventListener('abort', abort)
--- a/packages/programs/guard-upstream/src/upstream-guard.ts
+++ b/packages/programs/guard-upstream/src/upstream-guard.ts
@@ -87,7 +87,7 @@
       case 'refuse': return errors.fail(permission.failure)
       case 'join': return await permission.done
       case 'run': return await this.runRecorded(door, req, intent, ctx, onDelta)
-      default: return errors.unreachable(permission)
+      default: return errors.assertNever(permission)
     }
   }
 
--- a/packages/programs/process-base/src/host-directory.ts
+++ b/packages/programs/process-base/src/host-directory.ts
@@ -46,8 +46,8 @@
     this.table = membership.createMembership({ settings: membershipSettings, self: settings.self, now: timers.monotonic() })
     this.pool = sidecarClient.createPeerPool({
       ...settings.peers,
-      onSender: (sender) => this.noteSender(sender),
-      onBroken: (host) => this.table.noteFailure(host, timers.monotonic())
+      onSenderReceived: (sender) => this.noteSender(sender),
+      onUnavailable: (host) => this.table.noteFailure(host, timers.monotonic())
     })
     this.subscriptions = [
       timers.every(settings.hostListPollMs, () => { void this.readHostList() }),
@@ -76,7 +76,7 @@
     const { timers } = this.deps
     if (this.table.tick(timers.monotonic())) this.pool.retain(new Set(this.memberMap().keys()))
     this.noteChanges()
-    for (const host of this.table.takeProbes(timers.monotonic())) void this.peer(host)?.status()
+    for (const host of this.table.takeProbes(timers.monotonic())) void this.peer(host)?.getStatus()
   }
 
   /** Logs the hosts whose state differs from what was logged last. */
@@ -105,11 +105,11 @@
   }
 
   /** Grows by one with every change of the hosts' states. */
-  version (): number {
+  getVersion (): number {
     return this.table.getView().version
   }
 
-  hosts (): Iterable<membership.MemberHost> {
+  listHosts (): Iterable<membership.MemberHost> {
     return this.memberMap().values()
   }
 
@@ -119,7 +119,7 @@
     return this.memberMap().get(host)?.state ?? 'gone'
   }
 
-  incarnationOf (host: types.HostId): types.Incarnation | undefined {
+  getIncarnation (host: types.HostId): types.Incarnation | undefined {
     return this.memberMap().get(host)?.incarnation
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Asks a host; one that is not known gives a failure that is notRun. */
-  async ask<T> (host: types.HostId, send: (peer: sidecarClient.PeerClient) => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
+  async callPeer<T> (host: types.HostId, send: (peer: sidecarClient.PeerClient) => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
     const peer = this.peer(host)
     if (peer === undefined) return errors.fail({ tag: 'peerUnavailable', verdict: 'notRun', message: `host ${host} is not known`, retryAfterMs: unknownHostRetryMs })
     return await send(peer)
@@ -142,7 +142,7 @@
   }
 
   /** The process that does a task for many; undefined while none is known. */
-  ownerOf (task: chooseHome.OwnedTask): types.HostId | undefined {
+  findOwner (task: chooseHome.OwnedTask): types.HostId | undefined {
     return this.deps.homes.findOwner(task, this.homeHosts())
   }
 
--- a/packages/programs/process-base/src/process-base.ts
+++ b/packages/programs/process-base/src/process-base.ts
@@ -20,11 +20,11 @@
   readonly startedAt: types.EpochMs
   readonly timers: timerService.TimerService
   readonly logger: logger.Logger
-  readonly log: logClient.LogClient
+  readonly logService: logClient.LogClient
   readonly tracer: tracing.Tracing
   readonly metrics: metrics.Metrics
   readonly directory: hostDirectory.HostDirectory
-  readonly follower: followConfig.ConfigFollower
+  readonly configFollower: followConfig.ConfigFollower
   /** The configuration in force, or undefined before the first. */
   readonly config: () => configState.Config | undefined
   readonly close: () => Promise<void>
@@ -60,7 +60,7 @@
     logger: log,
     pollMs: settings.configPollMs,
     fetchFromPeers: (have) => askPeersForConfig(directory, host, have),
-    copies: { author: host, isCopyWriter: () => directory.ownerOf({ type: 'configCopy', round: Math.floor(timers.now() / copyRoundMs) }) === host }
+    copies: { author: host, isCopyWriter: () => directory.findOwner({ type: 'configCopy', round: Math.floor(timers.now() / copyRoundMs) }) === host }
   })
   await directory.readHostList()
   directory.settle()
@@ -76,11 +76,11 @@
     startedAt: timers.now() as types.EpochMs,
     timers,
     logger: log,
-    log: logService,
+    logService,
     tracer,
     metrics: sent,
     directory,
-    follower,
+    configFollower: follower,
     config: () => follower.current()?.config,
     close
   }
@@ -88,10 +88,10 @@
 
 /** The newest configuration that a few other processes have. */
 async function askPeersForConfig (directory: hostDirectory.HostDirectory, self: types.HostId, have: types.ConfigVersion): Promise<sidecarClient.PeerConfig | null> {
-  const hosts = [...directory.hosts()].filter(({ entry, state }) => entry.host !== self && state === 'live').map(({ entry }) => entry.host)
+  const hosts = [...directory.listHosts()].filter(({ entry, state }) => entry.host !== self && state === 'live').map(({ entry }) => entry.host)
   const start = Math.floor(Math.random() * hosts.length)
   const asked = [...hosts.slice(start), ...hosts.slice(0, start)].slice(0, configPeers)
-  const answers = await Promise.all(asked.map((host) => directory.ask(host, (peer) => peer.getConfig(have))))
+  const answers = await Promise.all(asked.map((host) => directory.callPeer(host, (peer) => peer.getConfig(have))))
   const newer = answers.flatMap((answer) => answer.ok && answer.value !== null ? [answer.value] : [])
   return newer.reduce<sidecarClient.PeerConfig | null>((best, next) => best === null || next.version > best.version ? next : best, null)
 }
@@ -99,11 +99,11 @@
 /** What any process says of itself to peers and operators. */
 export function createProcessHandlers (base: ProcessBase, own: { status: () => types.ProcessStatus, explain: (program: types.ProgramId, key: types.RequestKey | null) => types.CallExplanation, loads: () => readonly types.UpstreamLoad[] }): sidecarClient.ProcessHandlers {
   return {
-    status: async () => errors.ok(own.status()),
+    getStatus: async () => errors.ok(own.status()),
     explain: async (program, key) => errors.ok(own.explain(program, key)),
-    loads: async () => errors.ok(own.loads()),
+    getLoads: async () => errors.ok(own.loads()),
     async getConfig (have) {
-      const current = base.follower.current()
+      const current = base.configFollower.current()
       if (current === undefined || current.version <= have) return errors.ok(null)
       return errors.ok({ version: current.version, config: followConfig.toPeerConfig(current) })
     }
--- a/packages/programs/process-base/src/process-metrics.ts
+++ b/packages/programs/process-base/src/process-metrics.ts
@@ -25,8 +25,8 @@
     base.metrics.gauge('process.memory', process.memoryUsage.rss())
     base.metrics.gauge('process.loop_delay', delay.max / nanosPerMs)
     delay.reset()
-    base.metrics.gauge('config.version', base.follower.current()?.version ?? 0)
-    base.metrics.gauge('host.live', [...base.directory.hosts()].filter(({ state }) => state === 'live').length)
+    base.metrics.gauge('config.version', base.configFollower.current()?.version ?? 0)
+    base.metrics.gauge('host.live', [...base.directory.listHosts()].filter(({ state }) => state === 'live').length)
     more()
   }
 
--- a/packages/programs/process-base/src/run-process.ts
+++ b/packages/programs/process-base/src/run-process.ts
@@ -14,7 +14,7 @@
 }
 
 export interface RunningProcess {
-  readonly ready: ReadyLine
+  readonly readyLine: ReadyLine
   /** Takes no new work and resolves when what is under way has ended. */
   readonly drain: () => Promise<void>
   readonly close: () => Promise<void>
@@ -55,12 +55,12 @@
   }
   const running = await awaitStart(program.start(loaded.settings))
   const log = running.logger
-  signals.handle({
-    end: (signal) => { end(running, loaded.settings.drainMs, signal) },
-    reload: () => { log.info({ outcome: checkAgain(program) }, 'settings read again') },
-    ignored: (signal) => { log.info({ signal }, 'leaving already') }
+  signals.setHandlers({
+    onShutdown: (signal) => { end(running, loaded.settings.drainMs, signal) },
+    onReload: () => { log.info({ outcome: checkAgain(program) }, 'settings read again') },
+    onIgnored: (signal) => { log.info({ signal }, 'leaving already') }
   })
-  process.stdout.write(`${JSON.stringify(running.ready)}\n`)
+  process.stdout.write(`${JSON.stringify(running.readyLine)}\n`)
 }
 
 /** Settings can't change in a running process: they are checked now and in force after the next start. */
--- a/packages/programs/program-home/src/call-runner.ts
+++ b/packages/programs/program-home/src/call-runner.ts
@@ -64,7 +64,7 @@
       case 'join': return await check.running.join(sink)
       case 'openIntent': return await this.resumeIntent(program, call, digest, sink)
       case 'run': return await this.begin(program, call, digest, ctx, sink)
-      default: return errors.unreachable(check)
+      default: return errors.assertNever(check)
     }
   }
 
@@ -97,7 +97,7 @@
       result = await this.runAttempts(attempt)
     } catch (err) {
       this.deps.logger.error({ err, program: program.id, call: running.call.key }, 'call failed')
-      result = errors.fail(errors.failureFrom(err))
+      result = errors.fail(errors.toFailure(err))
       this.countUnrecorded(attempt, result)
     }
     program.reserved = local.lessUsage(program.reserved, need.usage)
@@ -123,7 +123,7 @@
       const result = await this.recordEnd(attempt, end)
       this.countUnrecorded(attempt, result)
       if (end.type !== 'failed') return result
-      verdict = errors.worseVerdict(verdict, end.failure.verdict)
+      verdict = errors.combineVerdicts(verdict, end.failure.verdict)
       const wait = this.mayRetry(attempt, end, count)
       if (wait === undefined) return errors.fail({ ...end.failure, verdict })
       await timerService.sleep(this.deps.timers, wait)
@@ -185,7 +185,7 @@
   }
 
   private candidatesFor (program: local.LocalProgram, target: types.CallTarget, preferred: readonly types.UpstreamId[]): readonly placeCall.Candidate[] {
-    const candidates = this.deps.upstreams.candidates(target, preferred)
+    const candidates = this.deps.upstreams.listCandidates(target, preferred)
     if (target.type !== 'model' || program.cachedTokens === 0) return candidates
     return candidates.map((candidate) => candidate.upstream === program.lastUpstream ? { ...candidate, cachedTokens: program.cachedTokens } : candidate)
   }
@@ -253,7 +253,7 @@
         const failure = result.ok ? failures.logUnavailable('notRun') : { ...result.failure, verdict: 'notRun' as const }
         return { type: 'failed', decided: settled.ok && !attempt.running.toldNotRun ? 'mayRetry' : 'final', failure }
       }
-      default: return errors.unreachable(known)
+      default: return errors.assertNever(known)
     }
   }
 
@@ -279,26 +279,26 @@
 
   private async incarnationOf (host: types.HostId): Promise<errors.Result<types.Incarnation>> {
     if (host === this.deps.self.host) return errors.ok(this.deps.self.incarnation)
-    const known = this.deps.hosts.incarnationOf(host)
-    return known === undefined ? await this.deps.hosts.askIncarnation(host) : errors.ok(known)
+    const known = this.deps.hosts.getIncarnation(host)
+    return known === undefined ? await this.deps.hosts.fetchIncarnation(host) : errors.ok(known)
   }
 
   private async send (attempt: attempts.Attempt, placed: Extract<placeCall.Placement, { type: 'placed' }>, intent: types.DispatchIntent | null): Promise<errors.Result<types.DispatchAnswer>> {
     const { running, deadline, ctx } = attempt
     const { timers, upstreams, dispatchPort, metrics } = this.deps
     running.sink.onPlaced({ upstream: placed.upstream, host: placed.host })
-    upstreams.noteStart(placed.upstream)
+    upstreams.recordCallStart(placed.upstream)
     let lastPieceAt: number | undefined
     const onDelta = (text: string): void => {
       const now = timers.monotonic()
       if (lastPieceAt === undefined) metrics.firstToken(now - attempt.startedAt)
-      else upstreams.noteSpeed(placed.upstream, 1, now - lastPieceAt)
+      else upstreams.recordSpeed(placed.upstream, 1, now - lastPieceAt)
       lastPieceAt = now
       running.sink.onDelta(text)
     }
     const dispatch = this.dispatchOf(attempt, placed.upstream, intent, Math.max(1, Math.ceil(deadline - timers.monotonic())))
     const result = await dispatchPort.dispatch(placed.host, dispatch, ctx, new AbortController().signal, onDelta)
-    upstreams.noteEnd(placed.upstream, result.ok ? result.value.load : null)
+    upstreams.recordCallEnd(placed.upstream, result.ok ? result.value.load : null)
     return result.ok ? result : errors.fail(failures.wayToUpstream(result.failure))
   }
 
@@ -328,7 +328,7 @@
         const prefix = cfg.services.get(target.service)?.pathPrefix ?? '/'
         return { type: 'service', path: joinPath(prefix, target.path), body: target.body }
       }
-      default: return errors.unreachable(target)
+      default: return errors.assertNever(target)
     }
   }
 
@@ -362,7 +362,7 @@
       case 'answered': return await this.turns.recordAnswer(attempt, end)
       case 'recordFailure': return await this.turns.recordFailure(attempt, end)
       case 'failed': return errors.fail(end.failure)
-      default: return errors.unreachable(end)
+      default: return errors.assertNever(end)
     }
   }
 
--- a/packages/programs/program-home/src/journal-writer.ts
+++ b/packages/programs/program-home/src/journal-writer.ts
@@ -88,7 +88,7 @@
     case 'applied': return errors.ok(position)
     case 'incomplete': return errors.fail({ tag: 'historyIncomplete', verdict: 'mayHaveRun', message: `records of ${record.program} have expired` })
     case 'void': return errors.fail(isChainReason(effect.reason) ? superseded(record.program) : refusedContent(record, effect.reason))
-    default: return errors.unreachable(effect)
+    default: return errors.assertNever(effect)
   }
 }
 
@@ -108,6 +108,6 @@
     case 'intentOpen':
     case 'noIntent':
     case 'intentMismatch': return false
-    default: return errors.unreachable(reason)
+    default: return errors.assertNever(reason)
   }
 }
--- a/packages/programs/program-home/src/ports.ts
+++ b/packages/programs/program-home/src/ports.ts
@@ -11,13 +11,13 @@
 export interface HostsPort {
   stateOf: (host: types.HostId) => HostState
   /** The run that answered last; undefined before the first answer. */
-  incarnationOf: (host: types.HostId) => types.Incarnation | undefined
+  getIncarnation: (host: types.HostId) => types.Incarnation | undefined
   /** Asks a host which run of its process is up now. */
-  askIncarnation: (host: types.HostId) => Promise<errors.Result<types.Incarnation>>
+  fetchIncarnation: (host: types.HostId) => Promise<errors.Result<types.Incarnation>>
   /** Whether this process is the first choice as the home of a program. */
   isFirstChoice: (program: types.ProgramId) => boolean
   /** Asks another home to let go of a program. */
-  askRelease: (host: types.HostId, program: types.ProgramId) => Promise<errors.Result<boolean>>
+  requestRelease: (host: types.HostId, program: types.ProgramId) => Promise<errors.Result<boolean>>
 }
 
 /** The sidecars beside upstreams, this one included. */
@@ -31,11 +31,11 @@
 /** Where calls may go, from the configuration and what is known of the hosts. */
 export interface UpstreamsPort {
   /** A bounded sample of the upstreams that serve a target, those named first always among them. */
-  candidates: (target: types.CallTarget, preferred: readonly types.UpstreamId[]) => readonly placeCall.Candidate[]
-  noteStart: (upstream: types.UpstreamId) => void
-  noteEnd: (upstream: types.UpstreamId, load: types.UpstreamLoad | null) => void
+  listCandidates: (target: types.CallTarget, preferred: readonly types.UpstreamId[]) => readonly placeCall.Candidate[]
+  recordCallStart: (upstream: types.UpstreamId) => void
+  recordCallEnd: (upstream: types.UpstreamId, load: types.UpstreamLoad | null) => void
   /** Pieces of an answer that came in a time, to notice an engine that is slow. */
-  noteSpeed: (upstream: types.UpstreamId, tokens: number, elapsedMs: number) => void
+  recordSpeed: (upstream: types.UpstreamId, tokens: number, elapsedMs: number) => void
 }
 
 export type ConfigPort = () => configState.Config
--- a/packages/programs/program-home/src/program-home.ts
+++ b/packages/programs/program-home/src/program-home.ts
@@ -24,7 +24,7 @@
   readonly admissionRule: () => admitProgram.AdmissionRule
   readonly cacheUsed: (upstream: types.UpstreamId) => number
   /** Slots of the engines beside this process, and the calls that wait for them. */
-  readonly ownSlots: () => { readonly slots: number, readonly waiting: number }
+  readonly getLocalSlots: () => { readonly slots: number, readonly waiting: number }
 }
 
 const retryMs = 500
@@ -45,7 +45,7 @@
     this.runner = new callRunner.CallRunner({ ...deps, learning: this.learning, metrics: this.metrics })
   }
 
-  get size (): number {
+  get programCount (): number {
     return this.programs.size
   }
 
@@ -78,7 +78,7 @@
   }
 
   private admit (start: types.ProgramStart): errors.Result<void> {
-    const { slots, waiting } = this.deps.ownSlots()
+    const { slots, waiting } = this.deps.getLocalSlots()
     const input = this.learning.admissionInput(this.deps.config(), start, this.programs.values(), slots, waiting)
     const decision = admitProgram.decideAdmission(this.deps.admissionRule(), input)
     if (decision.type === 'admit') return errors.ok(undefined)
@@ -170,7 +170,7 @@
   }
 
   /** Called when the journal shows that another process has become the home. */
-  superseded (program: types.ProgramId): void {
+  handleSuperseded (program: types.ProgramId): void {
     const known = this.programs.get(program)
     if (known === undefined) return
     this.deps.logger.warn({ program }, 'another process became the home')
@@ -347,6 +347,6 @@
     case 'queue': return `${reason.waiting} calls wait, at most ${reason.most} may`
     case 'likelihood': return `likelihood ${reason.likelihood.toFixed(2)}, use ${reason.use.toFixed(2)}`
     case 'deadlineTooClose': return `the deadline is too close, likelihood ${reason.likelihood.toFixed(2)}`
-    default: return errors.unreachable(reason)
+    default: return errors.assertNever(reason)
   }
 }
--- a/packages/programs/program-home/src/reserve-budget.ts
+++ b/packages/programs/program-home/src/reserve-budget.ts
@@ -29,7 +29,7 @@
       const microCost = cfg.services.get(target.service)?.microCostPerCall ?? 0
       return { promptTokens: 0, maxTokens: 0, usage: { tokens: 0, calls: 1, microCost } }
     }
-    default: return errors.unreachable(target)
+    default: return errors.assertNever(target)
   }
 }
 
@@ -50,7 +50,7 @@
       return { tokens: tokens.prompt + tokens.generated, calls: 1, microCost: Math.ceil(microCost) }
     }
     case 'service': return { tokens: 0, calls: 1, microCost: cfg.services.get(target.service)?.microCostPerCall ?? 0 }
-    default: return errors.unreachable(target)
+    default: return errors.assertNever(target)
   }
 }
 
--- a/packages/programs/program-home/src/resolve-intent.ts
+++ b/packages/programs/program-home/src/resolve-intent.ts
@@ -31,7 +31,7 @@
 
 export interface ResolveDeps {
   readonly dispatchPort: Pick<ports.DispatchPort, 'seal'>
-  readonly hosts: Pick<ports.HostsPort, 'stateOf' | 'incarnationOf'>
+  readonly hosts: Pick<ports.HostsPort, 'stateOf' | 'getIncarnation'>
   readonly timers: timerService.TimerService
 }
 
@@ -66,14 +66,14 @@
     case 'failed': return state
     case 'otherIncarnation': return unknownEnd('wrongIncarnation', 'its sidecar was replaced')
     case 'forgotten': return unknownEnd('timeout', 'it is too long ago')
-    default: return errors.unreachable(state)
+    default: return errors.assertNever(state)
   }
 }
 
 function isReplaced (deps: ResolveDeps, intent: IntentRef): boolean {
   const { host, incarnation } = intent.dispatchTo
   if (deps.hosts.stateOf(host) === 'gone') return true
-  const latest = deps.hosts.incarnationOf(host)
+  const latest = deps.hosts.getIncarnation(host)
   return latest !== undefined && latest !== incarnation
 }
 
--- a/packages/programs/program-home/src/running-call.ts
+++ b/packages/programs/program-home/src/running-call.ts
@@ -5,7 +5,7 @@
 export type CallResult = errors.Result<types.CallEnd>
 
 export class RunningCall {
-  private placed: types.Placed | undefined
+  private placed: types.Placement | undefined
   private text: string[] = []
   private readonly sinks = new Set<types.CallSink>()
   private settle: (result: CallResult) => void = () => undefined
--- a/packages/programs/program-home/src/take-over.ts
+++ b/packages/programs/program-home/src/take-over.ts
@@ -72,7 +72,7 @@
   const { host, incarnation } = head.home
   if (host === deps.self.host) return incarnation === deps.self.incarnation ? { type: 'own' } : { type: 'claim' }
   if (deps.hosts.stateOf(host) === 'gone') return { type: 'claim' }
-  const latest = deps.hosts.incarnationOf(host)
+  const latest = deps.hosts.getIncarnation(host)
   if (latest !== undefined && latest !== incarnation) return { type: 'claim' }
   if (!deps.hosts.isFirstChoice(program)) return await leaveOrClaim(deps, head.home)
   return await askRelease(deps, program, host)
@@ -83,7 +83,7 @@
  * keeps the program; this process may simply not have noticed yet that it is gone.
  */
 async function leaveOrClaim (deps: TakeOverDeps, home: types.ProcessRef): Promise<Claim> {
-  const answer = await deps.hosts.askIncarnation(home.host)
+  const answer = await deps.hosts.fetchIncarnation(home.host)
   if (!answer.ok) return claimIfGone(deps, home.host, answer.failure)
   if (answer.value !== home.incarnation) return { type: 'claim' }
   return { type: 'refuse', failure: notHome(home.host, `${home.host} is its home`) }
@@ -91,7 +91,7 @@
 
 /** A home that lets go, or is not the home any more, or whose process is not there, makes way for a claim. */
 async function askRelease (deps: TakeOverDeps, program: types.ProgramId, host: types.HostId): Promise<Claim> {
-  const released = await deps.hosts.askRelease(host, program)
+  const released = await deps.hosts.requestRelease(host, program)
   return released.ok ? { type: 'claim' } : claimIfGone(deps, host, released.failure)
 }
 
--- a/packages/programs/program-home/src/test-journal.ts
+++ b/packages/programs/program-home/src/test-journal.ts
@@ -74,7 +74,7 @@
         return errors.fail(unavailable('mayHaveRun'))
       case 'late': return errors.fail(unavailable('mayHaveRun'))
       case 'refused': return errors.fail(unavailable('notRun'))
-      default: return errors.unreachable(outcome)
+      default: return errors.assertNever(outcome)
     }
   }
 }
--- a/packages/programs/program-home/src/test-runner.ts
+++ b/packages/programs/program-home/src/test-runner.ts
@@ -75,7 +75,7 @@
   }
   const off = metrics.createMetrics('off')
   const runner = new callRunner.CallRunner({ ...deps, learning: new learnings.Learning(deps), metrics: new homeMetrics.HomeMetrics(off, timers.now) })
-  const home = new programHome.ProgramHome({ ...deps, metrics: off, admissionRule: () => ({ type: 'none' }), ownSlots: () => ({ slots: 4, waiting: 0 }) })
+  const home = new programHome.ProgramHome({ ...deps, metrics: off, admissionRule: () => ({ type: 'none' }), getLocalSlots: () => ({ slots: 4, waiting: 0 }) })
   const sink: types.CallSink = { onPlaced: () => {}, onDelta: () => {} }
   return {
     timers,
@@ -98,10 +98,10 @@
 function hosts (): ports.HostsPort {
   return {
     stateOf: () => 'live',
-    incarnationOf: () => 'e1' as types.Incarnation,
-    askIncarnation: async () => errors.ok('e1' as types.Incarnation),
+    getIncarnation: () => 'e1' as types.Incarnation,
+    fetchIncarnation: async () => errors.ok('e1' as types.Incarnation),
     isFirstChoice: () => true,
-    askRelease: async () => errors.ok(true)
+    requestRelease: async () => errors.ok(true)
   }
 }
 
@@ -119,10 +119,10 @@
     slowFactor: 1
   }
   return {
-    candidates: () => [only],
-    noteStart: () => {},
-    noteEnd: () => {},
-    noteSpeed: () => {}
+    listCandidates: () => [only],
+    recordCallStart: () => {},
+    recordCallEnd: () => {},
+    recordSpeed: () => {}
   }
 }
 
--- a/packages/programs/sidecar/src/own-upstreams.ts
+++ b/packages/programs/sidecar/src/own-upstreams.ts
@@ -44,7 +44,7 @@
         const client = serviceClient.createServiceClient({ upstream: id, address, maxAnswerBytes: this.cfg.maxAnswerBytes })
         return { address, guarded: { type: 'service', upstream: id, slots, client } }
       }
-      default: return errors.unreachable(upstream)
+      default: return errors.assertNever(upstream)
     }
   }
 
--- a/packages/programs/sidecar/src/ports.ts
+++ b/packages/programs/sidecar/src/ports.ts
@@ -9,26 +9,26 @@
   return {
     dispatch: (host, dispatch, ctx, signal, onDelta) => host === self
       ? guard.dispatch(dispatch, ctx, signal, onDelta)
-      : directory.ask(host, (peer) => peer.dispatch(dispatch, ctx, signal, onDelta)),
-    seal: (host, seal) => host === self ? guard.seal(seal) : directory.ask(host, (peer) => peer.seal(seal)),
+      : directory.callPeer(host, (peer) => peer.dispatch(dispatch, ctx, signal, onDelta)),
+    seal: (host, seal) => host === self ? guard.seal(seal) : directory.callPeer(host, (peer) => peer.seal(seal)),
     hold: (host, program, term, upstream, holdMs) => host === self
       ? guard.hold(program, term, upstream, holdMs)
-      : directory.ask(host, (peer) => peer.hold(program, term, upstream, holdMs)),
+      : directory.callPeer(host, (peer) => peer.hold(program, term, upstream, holdMs)),
     drop: (host, program, term, upstream) => host === self
       ? guard.drop(program, term, upstream)
-      : directory.ask(host, (peer) => peer.drop(program, term, upstream))
+      : directory.callPeer(host, (peer) => peer.drop(program, term, upstream))
   }
 }
 
 export function createHostsPort (self: types.HostId, directory: processBase.HostDirectory): programHome.HostsPort {
   return {
     stateOf: (host) => directory.stateOf(host),
-    incarnationOf: (host) => directory.incarnationOf(host),
-    async askIncarnation (host) {
-      const status = await directory.ask(host, (peer) => peer.status())
+    getIncarnation: (host) => directory.getIncarnation(host),
+    async fetchIncarnation (host) {
+      const status = await directory.callPeer(host, (peer) => peer.getStatus())
       return status.ok ? errors.ok(status.value.incarnation) : status
     },
     isFirstChoice: (program) => directory.rankHomes(program)[0] === self,
-    askRelease: (host, program) => directory.ask(host, (peer) => peer.release(program, self))
+    requestRelease: (host, program) => directory.callPeer(host, (peer) => peer.release(program, self))
   }
 }
--- a/packages/programs/sidecar/src/rules.ts
+++ b/packages/programs/sidecar/src/rules.ts
@@ -15,7 +15,7 @@
     case 'earliestDeadline': return { type: 'earliestDeadline', starvationMs }
     case 'leastAttained': return { type: 'leastAttained', starvationMs }
     case 'weightedSlack': return orderQueue.defaultOrderRule
-    default: return errors.unreachable(name)
+    default: return errors.assertNever(name)
   }
 }
 
@@ -25,7 +25,7 @@
     case 'never': return { type: 'never' }
     case 'fixed': return { type: 'fixed', holdMs: fixedHoldMs }
     case 'learnt': return retainPrefix.learntHoldRule
-    default: return errors.unreachable(name)
+    default: return errors.assertNever(name)
   }
 }
 
@@ -34,6 +34,6 @@
     case 'none': return { type: 'none' }
     case 'queueBound': return { type: 'queueBound', waitingPerSlot }
     case 'inTime': return admitProgram.defaultAdmissionRule
-    default: return errors.unreachable(name)
+    default: return errors.assertNever(name)
   }
 }
--- a/packages/programs/sidecar/src/share-lender.ts
+++ b/packages/programs/sidecar/src/share-lender.ts
@@ -19,7 +19,7 @@
     this.forgetting = timers.every(forgetAfterMs, () => this.forgetOld())
   }
 
-  readonly borrowShare = async (wish: types.ShareWish): Promise<errors.Result<types.ShareLease>> => {
+  readonly borrowShare = async (wish: types.ShareRequest): Promise<errors.Result<types.ShareLease>> => {
     const client = this.config()?.clients.get(wish.client)
     if (client === undefined) return errors.fail({ tag: 'unknownTarget', verdict: 'notRun', message: `client ${wish.client} is not in the configuration`, field: 'client' })
     const limit = limitClient.getClientLimit(client, wish.limit)
--- a/packages/programs/sidecar/src/sidecar-metrics.ts
+++ b/packages/programs/sidecar/src/sidecar-metrics.ts
@@ -17,7 +17,7 @@
     sent.increment('log.read', counters.bytesRead - before.bytesRead)
     before = counters
     sent.gauge('log.unavailable', journal.isAvailable() ? 0 : 1)
-    sent.gauge('program.open', home.size)
+    sent.gauge('program.open', home.programCount)
     for (const { upstream, running, waiting } of guard.status()) {
       sent.gauge('upstream.running', running, { upstream })
       sent.gauge('queue.length', waiting, { upstream })
--- a/packages/programs/sidecar/src/sidecar.ts
+++ b/packages/programs/sidecar/src/sidecar.ts
@@ -25,15 +25,15 @@
   const guard = new guardUpstream.UpstreamGuard({ self, timers, logger, tracer: base.tracer, orderRule: orderQueue.defaultOrderRule })
   const upstreams = new ownUpstreams.OwnUpstreams(self.host, guard, cfg)
   const known = new upstreamDirectory.UpstreamDirectory({ self: self.host, region: cfg.region as types.RegionId, directory, config, timers, random: Math.random })
-  const { config: first } = await base.follower.waitForFirst()
+  const { config: first } = await base.configFollower.waitForFirst()
   const journal = await appendJournal.createJournal({
-    log: base.log,
+    log: base.logService,
     timers,
     logger,
     ...cfg.journal,
     retentionMs: first.limits.retentionMs,
     snapshotMs: first.limits.snapshotMs,
-    onSuperseded: (program) => home.superseded(program)
+    onSuperseded: (program) => home.handleSuperseded(program)
   })
   const home: programHome.ProgramHome = new programHome.ProgramHome({
     self,
@@ -50,7 +50,7 @@
     holdRule: () => rules.holdRuleOf(config().limits.holdRule),
     admissionRule: () => rules.admissionRuleOf(config().limits.admissionRule),
     cacheUsed: (upstream) => known.cacheUsed(upstream),
-    ownSlots: () => slotsOf(self.host, base, guard),
+    getLocalSlots: () => slotsOf(self.host, base, guard),
     random: Math.random
   })
 
@@ -60,14 +60,14 @@
     guard.setOrderRule(rules.orderRuleOf(next.limits.queueRule))
     upstreams.apply(next)
   }
-  base.follower.subscribe(({ config: next }) => applyConfig(next))
+  base.configFollower.subscribe(({ config: next }) => applyConfig(next))
   applyConfig(config())
   const gauges = processBase.startProcessMetrics(base, sidecarMetrics.createSidecarMetrics(base.metrics, home, guard, journal))
   const snapshots = timers.every(snapshotPeriodMs, () => { void home.writeSnapshots() })
   const server = await sidecarClient.startPeerServer({
     bindAddress: cfg.bindAddress,
     port: cfg.peerPort,
-    sender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: base.follower.current()?.version ?? noConfigVersion }),
+    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: base.configFollower.current()?.version ?? noConfigVersion }),
     process: processBase.createProcessHandlers(base, {
       status: () => statusOf(cfg, base, home, guard, journal, leaving),
       explain: (program, key) => home.explain(program, key),
@@ -95,7 +95,7 @@
     await base.close()
   }
 
-  return { ready: { ready: true as const, binary: 'eelgrasswind-sidecar', peerAddress: `http://${cfg.bindAddress}:${server.port}` }, drain, close, logger }
+  return { readyLine: { ready: true as const, binary: 'eelgrasswind-sidecar', peerAddress: `http://${cfg.bindAddress}:${server.port}` }, drain, close, logger }
 }
 
 /** How often programs are looked through for snapshots that are due, in milliseconds. */
@@ -126,9 +126,9 @@
     availabilityZone: cfg.availabilityZone as types.AvailabilityZoneId,
     incarnation: base.self.incarnation,
     startedAt: base.startedAt,
-    configVersion: base.follower.current()?.version ?? noConfigVersion,
+    configVersion: base.configFollower.current()?.version ?? noConfigVersion,
     leaving,
-    programsAtHome: home.size,
+    programsAtHome: home.programCount,
     callsInFlight: guard.callsInFlight(),
     journal: { ...journal.getCounters() },
     upstreams: guard.status()
--- a/packages/programs/sidecar/src/upstream-directory.ts
+++ b/packages/programs/sidecar/src/upstream-directory.ts
@@ -26,7 +26,7 @@
 export interface UpstreamDirectoryDeps {
   readonly self: types.HostId
   readonly region: types.RegionId
-  readonly directory: Pick<processBase.HostDirectory, 'version' | 'stateOf'>
+  readonly directory: Pick<processBase.HostDirectory, 'getVersion' | 'stateOf'>
   readonly config: () => configState.Config
   readonly timers: timerService.TimerService
   readonly random: () => number
@@ -43,7 +43,7 @@
 
   constructor (private readonly deps: UpstreamDirectoryDeps) {}
 
-  candidates (target: types.CallTarget, preferred: readonly types.UpstreamId[]): readonly placeCall.Candidate[] {
+  listCandidates (target: types.CallTarget, preferred: readonly types.UpstreamId[]): readonly placeCall.Candidate[] {
     const known = this.serving(nameOf(target))
     return this.sample(known, preferred).flatMap((upstream) => this.candidateOf(upstream))
   }
@@ -97,11 +97,11 @@
     }]
   }
 
-  noteStart (upstream: types.UpstreamId): void {
+  recordCallStart (upstream: types.UpstreamId): void {
     this.inFlight.set(upstream, (this.inFlight.get(upstream) ?? 0) + 1)
   }
 
-  noteEnd (upstream: types.UpstreamId, load: types.UpstreamLoad | null): void {
+  recordCallEnd (upstream: types.UpstreamId, load: types.UpstreamLoad | null): void {
     const left = (this.inFlight.get(upstream) ?? 1) - 1
     if (left > 0) this.inFlight.set(upstream, left)
     else this.inFlight.delete(upstream)
@@ -117,7 +117,7 @@
     })
   }
 
-  noteSpeed (upstream: types.UpstreamId, tokens: number, elapsedMs: number): void {
+  recordSpeed (upstream: types.UpstreamId, tokens: number, elapsedMs: number): void {
     this.slow.observe(upstream, tokens, elapsedMs, this.deps.timers.monotonic())
   }
 
@@ -130,7 +130,7 @@
   switch (target.type) {
     case 'model': return `model ${target.model}`
     case 'service': return `service ${target.service}`
-    default: return errors.unreachable(target)
+    default: return errors.assertNever(target)
   }
 }
 
@@ -138,6 +138,6 @@
   switch (upstream.type) {
     case 'engine': return upstream.models.map((model) => `model ${model}` as const)
     case 'service': return [`service ${upstream.service}`]
-    default: return errors.unreachable(upstream)
+    default: return errors.assertNever(upstream)
   }
 }
--- a/packages/state/append-journal/src/heads.ts
+++ b/packages/state/append-journal/src/heads.ts
@@ -22,14 +22,14 @@
   createFromSnapshot: (record, position, at) => createIndexedHead(programState.createHeadFromSnapshot(record, position, at), position, at),
   applyContent: (head, record, position) => {
     if (record.type === 'snapshot') Object.assign(head, createIndexedHead(head, position, head.lastAppliedAt))
-    else addOffset(head.offsets, types.offsetOf(position))
+    else addOffset(head.offsets, types.toOffset(position))
     return programState.applied
   }
 }
 
 /** Lists each member, because a spread creates objects that use half as much memory again. */
 function createIndexedHead ({ term, n, home, finished, lastAppliedAt, isComplete }: programState.ChainHead, position: types.Term, at: types.EpochMs): IndexedHead {
-  return { term, n, home, finished, lastAppliedAt, isComplete, basePosition: position, baseAt: at, offsets: [types.offsetOf(position)] }
+  return { term, n, home, finished, lastAppliedAt, isComplete, basePosition: position, baseAt: at, offsets: [types.toOffset(position)] }
 }
 
 function addOffset (offsets: types.LogOffset[], offset: types.LogOffset): void {
--- a/packages/state/append-journal/src/journal.test.ts
+++ b/packages/state/append-journal/src/journal.test.ts
@@ -286,7 +286,7 @@
   for (let created = 0; created < 10; created += 1) put(`new-${created}`)
   const journal = await world.open({ retentionMs: hourMs })
   t.equal(unwrap(await runUntilSettled(world, journal.readHead(records.programId('old-999')))), undefined)
-  t.match(unwrap(await runUntilSettled(world, journal.readHead(records.programId('new-0')))), { n: 1, term: types.positionOf(1000 as types.LogOffset, 0) })
+  t.match(unwrap(await runUntilSettled(world, journal.readHead(records.programId('new-0')))), { n: 1, term: types.toPosition(1000 as types.LogOffset, 0) })
   t.match(journal.getCounters(), { recordsFolded: 10 })
   t.ok(journal.getCounters().reads < 15, `${journal.getCounters().reads} reads`)
 })
--- a/packages/state/append-journal/src/load-program.ts
+++ b/packages/state/append-journal/src/load-program.ts
@@ -108,6 +108,6 @@
 
 function selectRecords (batch: readonly types.JournalRecord[], program: types.ProgramId, offset: types.LogOffset, at: types.EpochMs): PositionedRecord[] {
   return batch
-    .map((record, index) => ({ record, position: types.positionOf(offset, index), at }))
+    .map((record, index) => ({ record, position: types.toPosition(offset, index), at }))
     .filter(({ record }) => record.program === program)
 }
--- a/packages/state/append-journal/src/measure.ts
+++ b/packages/state/append-journal/src/measure.ts
@@ -58,7 +58,7 @@
 
 /** Appends a begin of each program, then turns of all programs in rounds, with `batchSize` records in a batch. The text of the first program may differ. */
 function fillLog (log: testLog.TestLog, programs: readonly types.ProgramId[], turns: number, batchSize: number, text: string, firstText = text): void {
-  const terms = programs.map((program) => types.positionOf(appendBatch(log, [records.begin(program, home, Date.now())]), 0))
+  const terms = programs.map((program) => types.toPosition(appendBatch(log, [records.begin(program, home, Date.now())]), 0))
   for (let seq = 1; seq <= turns; seq += 1) {
     for (let from = 0; from < programs.length; from += batchSize) {
       appendBatch(log, programs.slice(from, from + batchSize).map((program, index) =>
--- a/packages/state/append-journal/src/schedule.test.ts
+++ b/packages/state/append-journal/src/schedule.test.ts
@@ -139,7 +139,7 @@
       const batch = programState.parseBatch(data)
       if (!batch.ok) throw new Error(batch.failure.message)
       for (const [index, record] of batch.value.records.entries()) {
-        const { view, effect } = programState.applyRecord(views.get(record.program), record, types.positionOf(offset, index), { at, coveredSince: undefined, rules })
+        const { view, effect } = programState.applyRecord(views.get(record.program), record, types.toPosition(offset, index), { at, coveredSince: undefined, rules })
         if (view !== undefined) views.set(record.program, view)
         const text = programState.encodeRecord(record)
         if (effect.type === 'applied' || !effects.has(text)) effects.set(text, effect)
--- a/packages/state/append-journal/src/shard-fold.ts
+++ b/packages/state/append-journal/src/shard-fold.ts
@@ -35,7 +35,7 @@
     const offset = this.nextOffset
     if (this.coveredSince !== undefined && at < this.coveredSince) this.coveredSince = at
     const context = { at, coveredSince: this.coveredSince, rules: this.options.rules }
-    for (const [index, record] of records.entries()) this.foldRecord(record, types.positionOf(offset, index), context)
+    for (const [index, record] of records.entries()) this.foldRecord(record, types.toPosition(offset, index), context)
     this.newestAt = at
     this.nextOffset = offset + 1 as types.LogOffset
     this.options.counters.recordsFolded += records.length
--- a/packages/state/append-journal/src/shard-writer.ts
+++ b/packages/state/append-journal/src/shard-writer.ts
@@ -174,7 +174,7 @@
   }
 
   /** Folds a batch that was appended, and retries while the records before it can't be read. */
-  private async foldAppended (batch: Batch, { offset, at }: logClient.LogAppended, deadline: number): Promise<SendResult> {
+  private async foldAppended (batch: Batch, { offset, at }: logClient.AppendResult, deadline: number): Promise<SendResult> {
     const { reader } = this.options
     const records = batch.map(({ record }) => record)
     markMayBeAppended(batch)
--- a/packages/state/append-journal/src/test-log.ts
+++ b/packages/state/append-journal/src/test-log.ts
@@ -34,7 +34,7 @@
     this.shouldFailRead = options.shouldFailRead ?? (() => false)
   }
 
-  async append (stream: types.StreamName, data: string): Promise<errors.Result<logClient.LogAppended>> {
+  async append (stream: types.StreamName, data: string): Promise<errors.Result<logClient.AppendResult>> {
     const fault = this.nextAppendFault()
     await this.wait(this.options.latencyMs)
     switch (fault) {
@@ -57,7 +57,7 @@
         return errors.ok({ offset, at })
       }
       default:
-        return errors.unreachable(fault)
+        return errors.assertNever(fault)
     }
   }
 
--- a/packages/state/config-state/src/change.ts
+++ b/packages/state/config-state/src/change.ts
@@ -104,7 +104,7 @@
 /** Parses one record of the stream. */
 export function parseChange (data: string): errors.Result<ConfigChange, ChangeFailure> {
   const value = parseJson(data)
-  if (value === undefined) return failMalformed('a change in JSON', parseSettings.formatFound(data))
+  if (value === undefined) return failMalformed('a change in JSON', parseSettings.formatFoundValue(data))
   const format = readFormat(value)
   if (typeof format === 'number' && Number.isInteger(format) && format > configFormat) return errors.fail({ tag: 'unknownFormat', format })
   const parsed = parseSettings.parseValue(value, changeSchema)
--- a/packages/state/config-state/src/check.ts
+++ b/packages/state/config-state/src/check.ts
@@ -39,7 +39,7 @@
   switch (upstream.type) {
     case 'engine': return checkEngine(cfg, upstream, path, report)
     case 'service': return checkPlainService(cfg, upstream, path, report)
-    default: errors.unreachable(upstream)
+    default: errors.assertNever(upstream)
   }
 }
 
--- a/packages/state/config-state/src/fold.ts
+++ b/packages/state/config-state/src/fold.ts
@@ -143,7 +143,7 @@
       const { format } = parsed.failure
       return { state: openGap(state, nextOffsetAfter(record.offset), 'unknownFormat'), effect: { type: 'unknownFormat', format } }
     }
-    default: return errors.unreachable(parsed.failure)
+    default: return errors.assertNever(parsed.failure)
   }
 }
 
--- a/packages/state/follow-config/src/config-follower.test.ts
+++ b/packages/state/follow-config/src/config-follower.test.ts
@@ -20,7 +20,7 @@
 
   constructor (private readonly timers: timerService.ManualTimers) {}
 
-  async append (_stream: types.StreamName, data: string): Promise<errors.Result<logClient.LogAppended>> {
+  async append (_stream: types.StreamName, data: string): Promise<errors.Result<logClient.AppendResult>> {
     if (this.isDown) return errors.fail(logFailure)
     const record = { offset: this.records.length as types.LogOffset, at: this.timers.now() as types.EpochMs, data }
     this.records.push(record)
@@ -219,5 +219,5 @@
   await timers.advanceAsync(1000)
   follower.close()
   await timers.advanceAsync(5000)
-  t.same([seenVersions, follower.current()?.version, timers.nextDue()], [[1], 1, undefined])
+  t.same([seenVersions, follower.current()?.version, timers.getNextDueMs()], [[1], 1, undefined])
 })
--- a/packages/state/follow-config/src/config-follower.ts
+++ b/packages/state/follow-config/src/config-follower.ts
@@ -163,7 +163,7 @@
       case 'pending': return log.debug({ offset }, 'configuration record is pending until a copy is read')
       case 'repeated':
       case 'ahead': return
-      default: errors.unreachable(effect)
+      default: errors.assertNever(effect)
     }
   }
 
--- a/packages/state/follow-records/src/record-follower.ts
+++ b/packages/state/follow-records/src/record-follower.ts
@@ -82,7 +82,7 @@
         }
         return true
       case 'expired':
-        this.ports.decisions.note({ event: 'changesMissed', topic: this.settings.partition.topic, from })
+        this.ports.decisions.record({ event: 'changesMissed', topic: this.settings.partition.topic, from })
         this.nextOffset = undefined
         return true
       case 'refused':
@@ -98,7 +98,7 @@
     let after: string | undefined
     let endOffset: number | undefined
     do {
-      const page = await this.ports.log.newest(this.settings.partition, after)
+      const page = await this.ports.log.readNewest(this.settings.partition, after)
       if (page.type !== 'page') {
         this.recordFailure(page)
         return false
@@ -117,12 +117,12 @@
     const now = this.ports.timers.monotonic()
     if (this.lastAnswerAtMs !== undefined && now - this.lastAnswerAtMs > minOutageMs + this.settings.longPollMs) this.recoveredAtMs = now
     this.lastAnswerAtMs = now
-    if (this.isFailing) this.ports.decisions.note({ event: 'storeBack', topic: this.settings.partition.topic })
+    if (this.isFailing) this.ports.decisions.record({ event: 'storeBack', topic: this.settings.partition.topic })
     this.isFailing = false
   }
 
   private recordFailure (failure: shardLog.StoreFailure): void {
-    if (!this.isFailing) this.ports.decisions.note({ event: 'storeAway', topic: this.settings.partition.topic, failure })
+    if (!this.isFailing) this.ports.decisions.record({ event: 'storeAway', topic: this.settings.partition.topic, failure })
     this.isFailing = true
   }
 }
--- a/packages/state/own-shards/src/owned-shard.test.ts
+++ b/packages/state/own-shards/src/owned-shard.test.ts
@@ -15,7 +15,7 @@
   const shard = new ownedShard.OwnedShard(partition, 2, {
     log: store.client(),
     timers,
-    decisions: { note: (decision) => { decisions.push(decision) } },
+    decisions: { record: (decision) => { decisions.push(decision) } },
     onLost: () => {}
   })
   void shard.open()
--- a/packages/state/own-shards/src/owned-shard.ts
+++ b/packages/state/own-shards/src/owned-shard.ts
@@ -61,7 +61,7 @@
     if (this.currentState !== 'opening' || activation.type === 'lost') return
     this.currentState = 'serving'
     const tookMs = Math.round(this.ports.timers.monotonic() - startedAtMs)
-    this.ports.decisions.note({ event: 'shardOpened', partition: this.partition, epoch: this.epoch, records: recordCount, tookMs })
+    this.ports.decisions.record({ event: 'shardOpened', partition: this.partition, epoch: this.epoch, records: recordCount, tookMs })
   }
 
   /** Resolves when the writes are stored or the shard is lost. */
@@ -95,7 +95,7 @@
   async handOver (timeoutMs: number): Promise<void> {
     this.refuseNewTurns()
     const writes = this.hasSentAllowance && this.currentState !== 'lost' ? this.ledger.prepareHandover() : []
-    await timerService.within(this.ports.timers, this.commit(writes), timeoutMs)
+    await timerService.withTimeout(this.ports.timers, this.commit(writes), timeoutMs)
     this.close()
   }
 
@@ -128,7 +128,7 @@
       this.ledger.extendLoadedChains()
       return recordCount
     } catch (err) {
-      this.ports.decisions.note({ event: 'shardUnreadable', partition: this.partition, epoch: this.epoch, err })
+      this.ports.decisions.record({ event: 'shardUnreadable', partition: this.partition, epoch: this.epoch, err })
       return undefined
     }
   }
@@ -137,9 +137,9 @@
     let after: string | undefined
     let recordCount = 0
     while (this.currentState === 'opening') {
-      const page = await this.ports.log.newest(this.partition, after)
+      const page = await this.ports.log.readNewest(this.partition, after)
       if (page.type !== 'page') {
-        this.ports.decisions.note({ event: 'shardNotRead', partition: this.partition, failure: page })
+        this.ports.decisions.record({ event: 'shardNotRead', partition: this.partition, failure: page })
         await timerService.sleep(this.ports.timers, readRetryDelayMs)
         continue
       }
