--- a/packages/state/own-shards/src/shard-owner.ts
+++ b/packages/state/own-shards/src/shard-owner.ts
@@ -112,7 +112,7 @@
 
   /** Where a shard is served, as far as this process knows. */
   locate (partition: shardLog.Partition): ShardLocation {
-    const name = shardLog.partitionName(partition)
+    const name = shardLog.formatPartitionName(partition)
     const shard = this.ownedShards.get(name)
     if (shard !== undefined && shard.state !== 'lost') return { type: 'here', shard }
     const member = this.ownersByPartition.get(name)
@@ -153,10 +153,10 @@
     if (this.pendingRefresh !== undefined) return this.pendingRefresh
     if (timers.monotonic() - this.ownersRequestedAtMs < minOwnersRefreshMs) return
     this.ownersRequestedAtMs = timers.monotonic()
-    this.pendingRefresh = log.owners(this.settings.group).then((answer) => {
+    this.pendingRefresh = log.listOwners(this.settings.group).then((answer) => {
       this.pendingRefresh = undefined
       if (answer.type === 'owners') this.setOwners(answer.owners)
-      else decisions.note({ event: 'ownersNotRead', failure: answer })
+      else decisions.record({ event: 'ownersNotRead', failure: answer })
     })
     return this.pendingRefresh
   }
@@ -178,7 +178,7 @@
     if (this.hasRecentlyEvicted(member)) return
     this.evictedAtMs.set(member, timers.monotonic())
     const leaveOutcome = await log.leave(this.settings.group, member)
-    decisions.note({ event: 'memberEvicted', member, why: cause, outcome: leaveOutcome.type })
+    decisions.record({ event: 'memberEvicted', member, why: cause, outcome: leaveOutcome.type })
     onShardsReleased()
     this.joinNow()
   }
@@ -190,7 +190,7 @@
 
   private setOwners (owners: readonly shardLog.Owner[]): void {
     this.ownersReadAtMs = this.ports.timers.monotonic()
-    this.ownersByPartition = new Map(owners.map(({ partition, member }) => [shardLog.partitionName(partition), member]))
+    this.ownersByPartition = new Map(owners.map(({ partition, member }) => [shardLog.formatPartitionName(partition), member]))
   }
 
   /** Hands over every shard and leaves the group for good. */
@@ -225,7 +225,7 @@
     await Promise.all([...this.ownedShards.values()].map((shard) => shard.handOver(this.settings.handoverTimeoutMs)))
     this.ownedShards.clear()
     const leaveOutcome = await this.ports.log.leave(this.settings.group, this.settings.member)
-    this.ports.decisions.note({ event: 'groupLeft', outcome: leaveOutcome.type })
+    this.ports.decisions.record({ event: 'groupLeft', outcome: leaveOutcome.type })
     this.ports.onShardsReleased()
     this.ownersRequestedAtMs = -Infinity
     await this.refreshOwners()
@@ -243,7 +243,7 @@
       this.ports.onShardsReleased()
     }
     if (answer.type !== 'assigned') {
-      this.ports.decisions.note({ event: 'leaseNotRenewed', failure: answer })
+      this.ports.decisions.record({ event: 'leaseNotRenewed', failure: answer })
       return
     }
     await this.applyAssignment(answer)
@@ -254,7 +254,7 @@
    * applied.
    */
   private async applyAssignment (assignment: shardLog.Assignment): Promise<void> {
-    const assigned = new Map(assignment.partitions.map((partition) => [shardLog.partitionName(partition), partition]))
+    const assigned = new Map(assignment.partitions.map((partition) => [shardLog.formatPartitionName(partition), partition]))
     const revoked = [...this.ownedShards].filter(([name]) => !assigned.has(name))
     for (const [name, partition] of assigned) {
       if (!this.ownedShards.has(name)) this.openShard(partition, assignment.generation)
@@ -264,7 +264,7 @@
     this.generation = assignment.generation
     if (!isNewGeneration) return
     if (revoked.length > 0) this.hasUnannouncedRelease = true
-    this.ports.decisions.note({ event: 'assignment', generation: assignment.generation, owned: assigned.size, handedOver: revoked.length })
+    this.ports.decisions.record({ event: 'assignment', generation: assignment.generation, owned: assigned.size, handedOver: revoked.length })
     void this.refreshOwners()
     void this.join()
   }
@@ -283,7 +283,7 @@
       ...this.ports,
       onLost: (lostShard, reason) => { this.handleLostShard(lostShard, reason) }
     })
-    this.ownedShards.set(shardLog.partitionName(partition), shard)
+    this.ownedShards.set(shardLog.formatPartitionName(partition), shard)
     void shard.open()
   }
 
@@ -297,8 +297,8 @@
   }
 
   private handleLostShard (shard: ownedShard.OwnedShard, reason: string): void {
-    const name = shardLog.partitionName(shard.partition)
-    this.ports.decisions.note({ event: 'shardLost', partition: shard.partition, epoch: shard.epoch, reason })
+    const name = shardLog.formatPartitionName(shard.partition)
+    this.ports.decisions.record({ event: 'shardLost', partition: shard.partition, epoch: shard.epoch, reason })
     if (this.ownedShards.get(name) === shard) this.ownedShards.delete(name)
     this.epochOffset += epochBumpSteps
     void this.refreshOwners()
--- a/packages/state/own-shards/src/shard-writer.ts
+++ b/packages/state/own-shards/src/shard-writer.ts
@@ -120,7 +120,7 @@
         case 'outOfSequence': return this.closeAsLost(`the store expected another sequence number: ${outcome.detail}`)
         case 'refused':
         case 'noAnswer':
-          this.ports.decisions.note({ event: 'appendUnanswered', partition: this.partition, epoch: this.epoch, attempt, failure: outcome })
+          this.ports.decisions.record({ event: 'appendUnanswered', partition: this.partition, epoch: this.epoch, attempt, failure: outcome })
           await timerService.sleep(this.ports.timers, getRetryDelayMs(attempt))
       }
     }
--- a/packages/state/program-state/src/state.ts
+++ b/packages/state/program-state/src/state.ts
@@ -148,7 +148,7 @@
     case 'snapshot':
       return checkSnapshot(state, record)
     default:
-      return errors.unreachable(record)
+      return errors.assertNever(record)
   }
 }
 
--- a/packages/state/relay-store/src/relayed-log.test.ts
+++ b/packages/state/relay-store/src/relayed-log.test.ts
@@ -52,7 +52,7 @@
   await timers.advanceAsync(50)
   t.equal((await firstAppend).type, 'appended')
   ownFaults.refuse = false
-  const probe = log.owners('homes')
+  const probe = log.listOwners('homes')
   await timers.advanceAsync(50)
   t.equal((await probe).type, 'owners')
   const callCountBefore = calledPeers.length
--- a/packages/state/relay-store/src/relayed-log.ts
+++ b/packages/state/relay-store/src/relayed-log.ts
@@ -39,7 +39,7 @@
 
   /** The shard log to use in place of the direct one. */
 
-  readonly log: shardLog.ShardLog = shardLog.shardLogOver((call) => this.runCall(call))
+  readonly log: shardLog.ShardLog = shardLog.createShardLog((call) => this.runCall(call))
 
   private async runCall (call: shardLog.StoreCall): Promise<shardLog.StoreAnswer> {
     if (this.relayPeer !== undefined && !isProbe(call)) {
@@ -47,8 +47,8 @@
       if (answer !== undefined) return answer
     }
     const answer = await shardLog.runStoreCall(this.ports.directLog, call)
-    if (shardLog.isUnserved(answer)) return this.relayCall(call, answer)
-    if (this.relayPeer !== undefined) this.ports.decisions.note({ event: 'storeDirect', peer: this.relayPeer })
+    if (shardLog.isRetryableElsewhere(answer)) return this.relayCall(call, answer)
+    if (this.relayPeer !== undefined) this.ports.decisions.record({ event: 'storeDirect', peer: this.relayPeer })
     this.relayPeer = undefined
     return answer
   }
@@ -59,7 +59,7 @@
     for (const address of this.takeCandidates()) {
       const answer = await this.callThroughPeer(address, call)
       if (answer === undefined) continue
-      if (this.relayPeer !== address) decisions.note({ event: 'storeRelayed', peer: address, call: call.type, failure })
+      if (this.relayPeer !== address) decisions.record({ event: 'storeRelayed', peer: address, call: call.type, failure })
       this.relayPeer = address
       return answer
     }
@@ -80,7 +80,7 @@
   /** The store's answer through a peer; `undefined` if the peer doesn't answer or the store doesn't serve it either. */
   private async callThroughPeer (address: string, call: shardLog.StoreCall): Promise<shardLog.StoreAnswer | undefined> {
     const answer = await this.ports.callPeer(address, call)
-    return answer === undefined || shardLog.isUnserved(answer) ? undefined : answer
+    return answer === undefined || shardLog.isRetryableElsewhere(answer) ? undefined : answer
   }
 }
 
--- a/packages/state/share-load/src/load-sharer.ts
+++ b/packages/state/share-load/src/load-sharer.ts
@@ -144,7 +144,7 @@
       this.ports.loads.applyReport(from, running, this.ports.timers.monotonic())
       if (marks.length > 0) this.ports.onMarksReceived(marks)
     } catch (err) {
-      this.ports.decisions.note({ event: 'loadReportUnreadable', from, err })
+      this.ports.decisions.record({ event: 'loadReportUnreadable', from, err })
     }
   }
 
@@ -152,7 +152,7 @@
   private logFailure (err: Error): void {
     if (this.isClosed || this.isFailing) return
     this.isFailing = true
-    this.ports.decisions.note({ event: 'loadNotShared', err })
+    this.ports.decisions.record({ event: 'loadNotShared', err })
   }
 }
 
--- a/packages/state/share-load/src/share-load.test.ts
+++ b/packages/state/share-load/src/share-load.test.ts
@@ -56,7 +56,7 @@
     peers: () => peers,
     onMarksReceived: (found) => { marks.push(...found) },
     timers,
-    decisions: { note: ({ event }) => { notedEvents.push(event) } } satisfies decisionLog.DecisionLog
+    decisions: { record: ({ event }) => { notedEvents.push(event) } } satisfies decisionLog.DecisionLog
   })
   await sharer.start()
   t.teardown(() => { sharer.close() })
--- a/packages/testing/demo/src/kit-order.ts
+++ b/packages/testing/demo/src/kit-order.ts
@@ -16,7 +16,7 @@
   return `${value.toFixed(1)} ms`.padStart(9)
 }
 
-function printCall (print: Print, step: string, entry: number, seal: callerClient.AnswerSeal, firstMs: number | undefined, totalMs: number): void {
+function printCall (print: Print, step: string, entry: number, seal: callerClient.AnswerTrailer, firstMs: number | undefined, totalMs: number): void {
   const first = firstMs === undefined ? '' : `, first text ${ms(firstMs).trim()}`
   print(`${ms(totalMs)}  ${step}: ${seal.branch}/${seal.seq} via entry ${entry + 1} to ${seal.upstream}${first}, ${seal.length} characters, sha256 ${seal.sha256.slice(0, 8)}`)
 }
@@ -45,33 +45,33 @@
 
   const quote = next()
   const quoted = need('quote', await quote.caller.complete(program, { model, messages: [{ role: 'user', content: 'Size 24 jerseys for a barangay league.' }], maxTokens: 64 }, { key: 'quote', seq: 1 }))
-  printCall(print, 'quote, streamed', quote.entry, quoted.seal, quoted.firstTextMs, quoted.totalMs)
+  printCall(print, 'quote, streamed', quote.entry, quoted.trailer, quoted.firstTextMs, quoted.totalMs)
 
   const stock = next()
   const checked = need('stock check', await stock.caller.complete(program, { model, messages: [{ role: 'user', content: 'Is navy cloth in stock?' }], maxTokens: 32 }, { key: 'stock', branch: 'stock-check', seq: 1 }))
-  printCall(print, 'stock check by a sub-agent', stock.entry, checked.seal, checked.firstTextMs, checked.totalMs)
+  printCall(print, 'stock check by a sub-agent', stock.entry, checked.trailer, checked.firstTextMs, checked.totalMs)
 
   const print1 = next()
   const order = { jerseys: 24, colour: 'navy' }
   const place = { key: 'print-1', seq: 2, idempotent: false }
   const printed = need('print order', await print1.caller.callService(program, service, '/print', order, place))
-  printCall(print, 'print order, at most once', print1.entry, printed.seal, undefined, printed.totalMs)
+  printCall(print, 'print order, at most once', print1.entry, printed.trailer, undefined, printed.totalMs)
 
   const again = next()
   const repeated = need('print order again', await again.caller.callService(program, service, '/print', order, place))
-  printCall(print, `the same key again, ${repeated.seal.repeated ? 'answered from the history' : 'RUN TWICE'}`, again.entry, repeated.seal, undefined, repeated.totalMs)
-  if (!repeated.seal.repeated) throw new Error('the print order ran twice')
+  printCall(print, `the same key again, ${repeated.trailer.repeated ? 'answered from the history' : 'RUN TWICE'}`, again.entry, repeated.trailer, undefined, repeated.totalMs)
+  if (!repeated.trailer.repeated) throw new Error('the print order ran twice')
 
   const summary = next()
   const summed = need('summary', await summary.caller.complete(program, { model, messages: [{ role: 'user', content: 'Summarise the order.' }], maxTokens: 64 }, { key: 'summary', seq: 3 }))
-  printCall(print, 'summary, streamed', summary.entry, summed.seal, summed.firstTextMs, summed.totalMs)
+  printCall(print, 'summary, streamed', summary.entry, summed.trailer, summed.firstTextMs, summed.totalMs)
 
   const end = next()
   const finished = need('finish', await end.caller.finish(program))
   print(`finished via entry ${end.entry + 1}: ${finished.turns} turns, ${finished.spent.tokens} tokens, ${finished.spent.microCost / 1_000_000} spent`)
 
   const read = next()
-  const { history } = need('history', await read.caller.history(program))
+  const { history } = need('history', await read.caller.readHistory(program))
   printHistory(print, history)
   const order1 = history.map((turn) => `${turn.branch}/${turn.seq}`).join(' ')
   if (order1 !== 'main/1 stock-check/1 main/2 main/3') throw new Error(`the history is not whole and in order: ${order1}`)
--- a/packages/testing/demo/src/pages.test.ts
+++ b/packages/testing/demo/src/pages.test.ts
@@ -90,6 +90,6 @@
 tap.test('the table of errors of the page for callers has every code with its status and Retry-After', async (t) => {
   const rows = [...page('callers.md').matchAll(/^\| `(\w+)` \| (\d{3}) \| ([\w, ]+) \| (yes|no) \|/gm)]
   const shown = Object.fromEntries(rows.map(([, code, status, , retry]) => [code, { status: Number(status), retryAfter: retry === 'yes' }]))
-  const real = Object.fromEntries(failures.map((failure) => [failure.tag, { status: callerServer.statusOf(failure), retryAfter: callerServer.retryAfterSeconds(failure) !== undefined }]))
+  const real = Object.fromEntries(failures.map((failure) => [failure.tag, { status: callerServer.toHttpStatus(failure), retryAfter: callerServer.toRetryAfterSeconds(failure) !== undefined }]))
   t.same(shown, real)
 })
--- a/packages/testing/model-engines/src/scenario.ts
+++ b/packages/testing/model-engines/src/scenario.ts
@@ -132,7 +132,7 @@
     case 'lateReports':
       for (const upstream of world.upstreams) upstream.reportLagMs = lateReportLagMs
       return
-    default: errors.unreachable(fault)
+    default: errors.assertNever(fault)
   }
 }
 
--- a/packages/testing/slopes/src/slopes/journal-reader.ts
+++ b/packages/testing/slopes/src/slopes/journal-reader.ts
@@ -64,7 +64,7 @@
     texts.push(programState.encodeBatch(group.map((program) => ({ ...records.beginOf(program), at }))))
     for (let seq = 1; seq <= turns; seq += 1) {
       texts.push(programState.encodeBatch(group.map((program, index) =>
-        records.turnOf(program, seq, types.positionOf(beginOffset, index), textBytes))))
+        records.turnOf(program, seq, types.toPosition(beginOffset, index), textBytes))))
     }
   }
   return texts
--- a/packages/testing/slopes/src/slopes/sessions.ts
+++ b/packages/testing/slopes/src/slopes/sessions.ts
@@ -23,10 +23,10 @@
 const notAsked = async <T>(): Promise<errors.Result<T>> => errors.fail({ tag: 'internal', verdict: 'notRun', message: 'not measured' })
 
 const ownProcess: sidecarClient.ProcessHandlers = {
-  status: notAsked,
+  getStatus: notAsked,
   getConfig: async () => errors.ok(null),
   explain: notAsked,
-  loads: async () => errors.ok([])
+  getLoads: async () => errors.ok([])
 }
 
 /** Answers every call with as many pieces as its sequence number. */
@@ -56,7 +56,7 @@
 }
 
 function startServer (): Promise<sidecarClient.PeerServer> {
-  return sidecarClient.startPeerServer({ bindAddress: '127.0.0.1', port: 0, sender: () => sender, process: ownProcess, home })
+  return sidecarClient.startPeerServer({ bindAddress: '127.0.0.1', port: 0, getSender: () => sender, process: ownProcess, home })
 }
 
 function connectTo (port: number): sidecarClient.PeerClient {
@@ -65,8 +65,8 @@
     timeoutMs: 10_000,
     pingIntervalMs: 10_000,
     pingTimeoutMs: 5_000,
-    onSender: () => {},
-    onBroken: () => {}
+    onSenderReceived: () => {},
+    onUnavailable: () => {}
   })
 }
 
--- a/packages/testing/stand-ins/src/control.ts
+++ b/packages/testing/stand-ins/src/control.ts
@@ -30,7 +30,7 @@
     case 'clearFaults':
       return faults.clear()
     default:
-      errors.unreachable(message)
+      errors.assertNever(message)
   }
 }
 
--- a/packages/testing/stand-ins/src/engine-control.ts
+++ b/packages/testing/stand-ins/src/engine-control.ts
@@ -84,7 +84,7 @@
       case 'state':
         return orders.state()
       default:
-        return errors.unreachable(place)
+        return errors.assertNever(place)
     }
   }
 }
--- a/packages/testing/stand-ins/src/engine-orders.ts
+++ b/packages/testing/stand-ins/src/engine-orders.ts
@@ -34,7 +34,7 @@
         state = { ...state, role: order.role }
         return
       default:
-        errors.unreachable(order)
+        errors.assertNever(order)
     }
   }
 
--- a/packages/testing/stand-ins/src/engine-stand-in.ts
+++ b/packages/testing/stand-ins/src/engine-stand-in.ts
@@ -79,7 +79,7 @@
       case undefined:
         return httpHost.sendJson(exchange.res, 200, await answerControl(exchange, place))
       default:
-        errors.unreachable(how)
+        errors.assertNever(how)
     }
   }
 
--- a/packages/testing/stand-ins/src/host-list-stand-in.ts
+++ b/packages/testing/stand-ins/src/host-list-stand-in.ts
@@ -104,7 +104,7 @@
       case 'truncate':
         return httpHost.sendTruncated(exchange.res, JSON.stringify(list))
       default:
-        errors.unreachable(fault)
+        errors.assertNever(fault)
     }
   }
 
@@ -136,7 +136,7 @@
       case 'stall':
         return stall(message.stalled)
       default:
-        errors.unreachable(message)
+        errors.assertNever(message)
     }
   }
 
--- a/packages/testing/stand-ins/src/log-stand-in.ts
+++ b/packages/testing/stand-ins/src/log-stand-in.ts
@@ -134,7 +134,7 @@
         if (isAppend) late.add(stream, exchange.body, fault)
         return httpHost.resetConnection(exchange.res)
       default:
-        errors.unreachable(fault)
+        errors.assertNever(fault)
     }
   }
 
@@ -167,7 +167,7 @@
       case 'expire':
         return streams.expire(message.stream, message.before)
       default:
-        errors.unreachable(message)
+        errors.assertNever(message)
     }
   }
 
--- a/packages/testing/stand-ins/src/main.ts
+++ b/packages/testing/stand-ins/src/main.ts
@@ -34,7 +34,7 @@
     case 'weightStore':
       return await weightStore.createWeightStoreStandIn(settings)
     default:
-      return errors.unreachable(settings)
+      return errors.assertNever(settings)
   }
 }
 
--- a/packages/testing/stand-ins/src/memory-shard-log.ts
+++ b/packages/testing/stand-ins/src/memory-shard-log.ts
@@ -43,7 +43,7 @@
 
   /** The store as one client sees it, with faults of its own. */
   client (faults: ShardLogFaults = noFaults()): shardLog.ShardLog {
-    return shardLog.shardLogOver(async (call) => {
+    return shardLog.createShardLog(async (call) => {
       await timerService.sleep(this.timers, callMs)
       if (faults.refuse) return { type: 'refused', status: 503 }
       if (faults.silent) return this.noAnswer()
@@ -124,7 +124,7 @@
     this.members.set(request.member, { generation: request.generation, expiresAt: now + request.ttlMs })
     this.deal()
     const partitions = this.dealt().filter(([partition, member]) => member === request.member && this.isFree(partition, member)).map(([partition]) => partition)
-    for (const partition of partitions) this.held.set(shardLog.partitionName(partition), request.member)
+    for (const partition of partitions) this.held.set(shardLog.formatPartitionName(partition), request.member)
     return { type: 'assigned', generation: this.generation, partitions }
   }
 
@@ -146,7 +146,7 @@
 
   /** A former holder has joined with this generation, or is gone. */
   private isFree (partition: shardLog.Partition, member: string): boolean {
-    const holder = this.held.get(shardLog.partitionName(partition))
+    const holder = this.held.get(shardLog.formatPartitionName(partition))
     if (holder === undefined || holder === member) return true
     const former = this.members.get(holder)
     return former === undefined || former.generation >= this.generation
@@ -154,13 +154,13 @@
 
   private owners (): shardLog.Owner[] {
     return this.dealt().flatMap(([partition]) => {
-      const member = this.held.get(shardLog.partitionName(partition))
+      const member = this.held.get(shardLog.formatPartitionName(partition))
       return member === undefined ? [] : [{ partition, member }]
     })
   }
 
   private stored (partition: shardLog.Partition): StoredPartition {
-    const name = shardLog.partitionName(partition)
+    const name = shardLog.formatPartitionName(partition)
     const known = this.partitions.get(name)
     if (known !== undefined) return known
     const fresh: StoredPartition = { records: [], epoch: -1, sequence: -1 }
--- a/packages/testing/stand-ins/src/service-stand-in.ts
+++ b/packages/testing/stand-ins/src/service-stand-in.ts
@@ -151,7 +151,7 @@
       case 'oversize':
         return send(res, { ...run(exchange, requestId), text: JSON.stringify('x'.repeat(fault.bytes)) })
       default:
-        errors.unreachable(fault)
+        errors.assertNever(fault)
     }
   }
 
--- a/packages/testing/system-tests/src/answers.test.ts
+++ b/packages/testing/system-tests/src/answers.test.ts
@@ -40,7 +40,7 @@
 
 /** Checks a program's history; false where it could not be read. */
 async function checkWhole (program: string): Promise<boolean> {
-  const read = await recorder.caller(1).history(program)
+  const read = await recorder.caller(1).readHistory(program)
   if (read.ok) recorder.checkHistory(program, read.value.history)
   return read.ok
 }
--- a/packages/testing/system-tests/src/config.test.ts
+++ b/packages/testing/system-tests/src/config.test.ts
@@ -20,7 +20,7 @@
 }
 
 function clientOf (address: string): sidecarClient.PeerClient {
-  const known = clients.get(address) ?? sidecarClient.createPeerClient({ address, timeoutMs: 2_000, pingIntervalMs: 1_000, pingTimeoutMs: 1_000, onSender: () => undefined, onBroken: () => undefined })
+  const known = clients.get(address) ?? sidecarClient.createPeerClient({ address, timeoutMs: 2_000, pingIntervalMs: 1_000, pingTimeoutMs: 1_000, onSenderReceived: () => undefined, onUnavailable: () => undefined })
   clients.set(address, known)
   return known
 }
@@ -28,7 +28,7 @@
 /** Version in force in each process. */
 async function versions (): Promise<readonly number[]> {
   return await Promise.all(addresses().map(async (address) => {
-    const status = await clientOf(address).status()
+    const status = await clientOf(address).getStatus()
     return status.ok ? status.value.configVersion : -1
   }))
 }
--- a/packages/testing/system-tests/src/history.test.ts
+++ b/packages/testing/system-tests/src/history.test.ts
@@ -117,7 +117,7 @@
     t.comment(`whole ${Math.round(performance.now() - killedAt)} ms after the kill, ran ${recorder.executions(program, 'k2')} times`)
     t.same(answers[1].ok ? [] : [answers[1].failure], [])
     t.ok((await recorder.askUntilWhole(recorders.modelCall(program, 'k3', 3), 15_000)).ok)
-    const read = await recorder.caller(1).history(program)
+    const read = await recorder.caller(1).readHistory(program)
     t.same(read.ok ? read.value.history.map((turn) => turn.key) : read.failure, ['k1', 'k2', 'k3'])
     if (read.ok) recorder.checkHistory(program, read.value.history)
     t.same(recorder.violations, [])
@@ -145,7 +145,7 @@
   t.match(answer, { ok: false, failure: { code: 'historyIncomplete', verdict: 'notRun', status: 410 } })
   // This entry may still know the former address of the home.
   const read = await testUtils.eventually(async () => {
-    const found = await recorder.caller(0).history('expired')
+    const found = await recorder.caller(0).readHistory('expired')
     return !found.ok && found.failure.code === 'peerUnavailable' ? undefined : found
   }, 15_000)
   t.match(read, { ok: false, failure: { code: 'historyIncomplete' } })
@@ -161,7 +161,7 @@
     }
   }))
   for (const id of ids) {
-    const read = await recorder.caller(0).history(id)
+    const read = await recorder.caller(0).readHistory(id)
     t.same(read.ok && read.value.history.map((turn) => turn.key), ['k1', 'k1.k', 'k3'])
     if (read.ok) recorder.checkHistory(id, read.value.history)
   }
@@ -175,11 +175,11 @@
   const address = system.entries.get('entry-a')!.address
   const other = new callerClient.CallerClient({ address, token: shared.otherToken })
   t.teardown(() => other.close())
-  t.match(await other.history('p'), { ok: false, failure: { code: 'unknownProgram', verdict: 'notRun' } })
+  t.match(await other.readHistory('p'), { ok: false, failure: { code: 'unknownProgram', verdict: 'notRun' } })
   t.match(await other.finish('p'), { ok: false, failure: { code: 'unknownProgram', verdict: 'notRun' } })
   t.match(await other.start('p', { kind: recorders.kind }), { ok: false, failure: { code: 'startConflict', verdict: 'notRun' } })
   t.match(await other.complete('p', { model: recorders.model, messages: [{ role: 'user', content: 'hello' }] }, { key: 'k4', seq: 4 }), { ok: false, failure: { code: 'unknownProgram', verdict: 'notRun' } })
-  const read = await recorder.caller(0).history('p')
+  const read = await recorder.caller(0).readHistory('p')
   t.same(read.ok && read.value.history.map((turn: types.Turn) => turn.key), ['k1', 'k1.k', 'k3'])
 })
 
--- a/packages/testing/system-tests/src/order.test.ts
+++ b/packages/testing/system-tests/src/order.test.ts
@@ -6,7 +6,7 @@
 const { system, recorder, start } = await shared.startShared(tap, testUtils.smallPlan)
 
 async function orderOf (program: string): Promise<readonly string[]> {
-  const read = await recorder.caller(1).history(program)
+  const read = await recorder.caller(1).readHistory(program)
   if (!read.ok) throw new Error(JSON.stringify(read.failure))
   recorder.checkHistory(program, read.value.history)
   return read.value.history.map((turn) => `${turn.branch}/${turn.seq} ${turn.key}`)
--- a/packages/testing/system-tests/src/outage.test.ts
+++ b/packages/testing/system-tests/src/outage.test.ts
@@ -35,7 +35,7 @@
     t.ok((await recorder.askUntilWhole(recorders.serviceCall(program, 'o1', 1, { branch: 'orders' }), 10_000)).ok)
     t.equal(recorder.executions(program, 'o1'), 1)
     await start(`${program}-new`)
-    const read = await recorder.caller(0).history(program)
+    const read = await recorder.caller(0).readHistory(program)
     t.same(read.ok && read.value.history.map((turn) => turn.key), ['k1', 'k2', 'o1'])
     if (read.ok) recorder.checkHistory(program, read.value.history)
   })
--- a/packages/testing/system-tests/src/paused-home.test.ts
+++ b/packages/testing/system-tests/src/paused-home.test.ts
@@ -64,10 +64,10 @@
   const { home, programs: [first, second] } = await startTwo()
   const answers = await takeTurnsElsewhere(home, [recorders.modelCall(first, 'k2', 2), recorders.modelCall(second, 'k2', 2)])
   t.ok(answers.every((answer) => answer.ok))
-  const read = await recorder.caller(0).history(first)
+  const read = await recorder.caller(0).readHistory(first)
   t.same(read.ok && read.value.history.map((turn) => turn.key), ['k1', 'k2'])
   t.match(await recorder.ask(recorders.modelCall(second, 'k3', 3)), { ok: true })
-  t.match(await recorder.ask(recorders.modelCall(second, 'k2', 2), 1), { ok: true, value: { seal: { repeated: true } } })
+  t.match(await recorder.ask(recorders.modelCall(second, 'k2', 2), 1), { ok: true, value: { trailer: { repeated: true } } })
 })
 
 tap.test('a paused process ends no other one', async (t) => {
--- a/packages/testing/system-tests/src/soak-programs.ts
+++ b/packages/testing/system-tests/src/soak-programs.ts
@@ -115,12 +115,12 @@
   }
 
   private async standsInHistory (program: string, key: string, entry: number): Promise<boolean> {
-    const read = await this.recorder.caller(entry).history(program)
+    const read = await this.recorder.caller(entry).readHistory(program)
     return read.ok && read.value.history.some((turn) => turn.key === key)
   }
 
   private async checkHistory (program: string, rnd: testUtils.Seeded): Promise<void> {
-    const read = await this.recorder.caller(rnd.whole(0, entries - 1)).history(program)
+    const read = await this.recorder.caller(rnd.whole(0, entries - 1)).readHistory(program)
     if (read.ok) this.recorder.checkHistory(program, read.value.history)
     else this.checkDeserved(program, read.failure)
   }
@@ -135,7 +135,7 @@
 
   private async checkOne (program: string, entry: number, until: number): Promise<void> {
     for (;;) {
-      const read = await this.recorder.caller(entry).history(program)
+      const read = await this.recorder.caller(entry).readHistory(program)
       if (read.ok) return this.recorder.checkHistory(program, read.value.history)
       this.checkDeserved(program, read.failure)
       if (performance.now() > until) {
--- a/packages/testing/system-tests/src/takeover.test.ts
+++ b/packages/testing/system-tests/src/takeover.test.ts
@@ -25,7 +25,7 @@
   }, 20_000)
   t.comment(`next turn ${Math.round(performance.now() - killedAt)} ms after the kill`)
   t.ok(two.ok)
-  const read = await first.history('p1')
+  const read = await first.readHistory('p1')
   t.match(read, { ok: true })
   if (!read.ok) return
   t.same(read.value.history.map((turn) => `${turn.branch}/${turn.seq} ${turn.key}`), ['main/1 k1', 'main/2 k2'])
