--- a/packages/peers/send-http/src/index.ts
+++ b/packages/peers/send-http/src/index.ts
@@ -1,3 +1,3 @@
-/** One HTTP request to an upstream or a peer: connection reuse, checked framing, cancellation, and a verdict on every failure. */
+/** HTTP/1.1 client for upstreams and peers: reuses connections, checks framing, supports cancellation, and says for every failure whether the request may have run. */
 export * from './send-http.js'
-export * from './send-whole.js'
+export * from './send-buffered.js'
--- a/packages/peers/send-http/src/send-whole.ts
+++ b/packages/peers/send-http/src/send-buffered.ts
@@ -1,17 +1,17 @@
-/** One request whose answer is wanted as a whole within a time limit. */
+/** Sends a request and buffers its whole answer, within a time limit. */
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as sendHttp from './send-http.js'
 
-/** What came of the request. */
-export type WholeOutcome =
+/** Complete answer, or why there is none. */
+export type BufferedOutcome =
   | { readonly type: 'answer', readonly status: number, readonly body: Buffer }
   | { readonly type: 'failed', readonly failure: sendHttp.SendFailure }
 
 /**
- * Resolves at the latest after the time given, in ms, whatever state the connection is in: one that is still being made,
- * as to a host behind a cut, ends with the request.
+ * Sends a request and resolves with its buffered answer. Resolves after `timeoutMs` at the latest, whatever the state of
+ * the connection: one still being established, such as to a host behind a network partition, is closed with the request.
  */
-export function sendBuffered (sender: sendHttp.Sender, timers: timerService.TimerService, request: sendHttp.OutgoingRequest, timeoutMs: number): Promise<WholeOutcome> {
+export function sendBuffered (sender: sendHttp.Sender, timers: timerService.TimerService, request: sendHttp.OutgoingRequest, timeoutMs: number): Promise<BufferedOutcome> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     let status = 0
@@ -21,12 +21,12 @@
       onComplete: () => { finish({ type: 'answer', status, body: Buffer.concat(chunks) }) },
       onFailed: (failure) => { finish({ type: 'failed', failure }) }
     })
-    const limit = timers.after(timeoutMs, () => {
+    const timer = timers.after(timeoutMs, () => {
       exchange.cancel()
       finish({ type: 'failed', failure: { verdict: 'mayHaveRun', cause: 'cancelled', detail: `no answer within ${timeoutMs} ms`, reused: false } })
     })
-    const finish = (outcome: WholeOutcome): void => {
-      limit.cancel()
+    const finish = (outcome: BufferedOutcome): void => {
+      timer.cancel()
       resolve(outcome)
     }
   })
--- a/packages/peers/send-http/src/send-http.ts
+++ b/packages/peers/send-http/src/send-http.ts
@@ -1,116 +1,121 @@
-/** Sends one HTTP/1.1 request and reports what comes back piece by piece. */
+/** HTTP/1.1 client over keep-alive connections that streams the answer to a sink. */
 import * as http from 'node:http'
 import type * as types from '@eelgrasswind/types'
 
-/** What is sent. Headers are name and value in turn, complete but for the connection's own. */
+/** A request to send. */
 export interface OutgoingRequest {
   /** IP:PORT. */
   readonly address: string
   readonly method: string
   readonly path: string
+  /** Alternating names and values. Complete except for the headers that manage the connection. */
   readonly headers: readonly string[]
   readonly body: Uint8Array
-  /** Time for a new connection to be established, in ms. */
+  /** Time limit for establishing a new connection, in ms. */
   readonly connectTimeoutMs: number
   /**
-   * Sends the body only once the other side has said `100 Continue`, and gives up if it does not within this time,
-   * in ms: until then it certainly did not run. `undefined` sends everything at once.
+   * Holds back the body until the server answers `100 Continue`, and fails the request if that takes longer than this,
+   * in ms. A request without its body cannot have run. `undefined` sends headers and body at once.
    */
   readonly continueTimeoutMs: number | undefined
   /**
-   * Must not run twice. While other sides are seen to drop idle connections without notice, it goes out on a connection
-   * used within `freshMs` or on a new one: what is sent on a dropped one is reset, and nobody can tell whether it ran.
+   * Whether the request must not run twice. While servers are known to drop idle connections without notice, such a request
+   * uses a new connection or one that was idle for less than `shortIdleTimeoutMs`. On a dropped connection it would be
+   * reset, and whether it ran would be unknown.
    */
   readonly atMostOnce: boolean
 }
 
-/** Status and headers of an answer. */
+/** Status and headers of an HTTP answer. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: http.IncomingHttpHeaders
-  /** Name and value in turn, as received. */
+  /** Alternating names and values, as received. */
   readonly rawHeaders: readonly string[]
 }
 
-/** Why there is no complete answer, and what that says of the request. */
+/** Why there is no complete answer, and whether the request may have run. */
 export interface SendFailure {
   readonly verdict: types.Verdict
   readonly cause: 'refused' | 'connect' | 'unconfirmed' | 'reset' | 'malformed' | 'truncated' | 'cancelled'
   readonly detail: string
-  /** Sent on a connection that had carried another request before. */
+  /** Whether the connection had carried an earlier request. */
   readonly reused: boolean
 }
 
-/** Receives the answer. After `end` or `fail` nothing follows. */
+/** Receives the answer. No callback follows `onComplete` or `onFailed`. */
 export interface AnswerSink {
   readonly onHead: (head: AnswerHead) => void
   readonly onData: (chunk: Buffer) => void
-  /** The answer is complete. */
+  /** The whole answer has been received. */
   readonly onComplete: () => void
   readonly onFailed: (failure: SendFailure) => void
 }
 
-/** A request under way, and what its sender may still do with it. */
+/** A request in flight. */
 export interface Exchange {
-  /** Closes the connection; the sink hears nothing more. */
+  /** Closes the connection. The sink gets no further callback. */
   readonly cancel: () => void
-  /** Stops and starts the reading of the answer. */
+  /** Stops reading the answer until `resume`. */
   readonly pause: () => void
   readonly resume: () => void
 }
 
-/** Sends requests over connections that it keeps for reuse. */
+/** Sends requests over pooled connections. */
 export interface Sender {
   readonly send: (request: OutgoingRequest, sink: AnswerSink) => Exchange
   readonly close: () => void
 }
 
-/** How connections are kept. */
+/** Idle timeouts of pooled connections. */
 export interface SenderSettings {
-  /** An idle connection is given up after this time, in ms: well before any upstream's own limit. */
+  /** Time after which an idle connection is closed, in ms. Well below the idle timeout of every upstream. */
   readonly idleTimeoutMs: number
-  /** The same while connections are seen to be dropped unasked, for requests that must not run twice, in ms: below the soonest drop. */
+  /**
+   * The same for requests that must not run twice while connections are being dropped without notice, in ms. Below the
+   * shortest idle time after which connections are dropped.
+   */
   readonly shortIdleTimeoutMs: number
 }
 
-/** Two of Node's own connection pools; the longest idle connections go first. */
+/** Creates a sender with two Node.js agents: one with the default idle timeout, one with the short one. */
 export function createSender (settings: SenderSettings): Sender {
-  const usual = createAgent(settings.idleTimeoutMs)
-  const fresh = createAgent(settings.shortIdleTimeoutMs)
-  let waryUntil = -Infinity
-  const watch = (sink: AnswerSink): AnswerSink => {
-    const sentAt = performance.now()
+  const defaultAgent = createAgent(settings.idleTimeoutMs)
+  const shortIdleAgent = createAgent(settings.shortIdleTimeoutMs)
+  let avoidIdleUntilMs = -Infinity
+  const watchForDroppedConnection = (sink: AnswerSink): AnswerSink => {
+    const sentAtMs = performance.now()
     return {
       ...sink,
       onFailed: (failure) => {
-        const now = performance.now()
-        if (failure.reused && failure.cause === 'reset' && now - sentAt < promptResetMs) waryUntil = now + waryMs
+        const nowMs = performance.now()
+        if (failure.reused && failure.cause === 'reset' && nowMs - sentAtMs < droppedResetMs) avoidIdleUntilMs = nowMs + avoidIdleMs
         sink.onFailed(failure)
       }
     }
   }
   return {
     send: (request, sink) => {
-      const agent = request.atMostOnce && performance.now() < waryUntil ? fresh : usual
-      return startExchange(agent, request, watch(sink))
+      const agent = request.atMostOnce && performance.now() < avoidIdleUntilMs ? shortIdleAgent : defaultAgent
+      return startExchange(agent, request, watchForDroppedConnection(sink))
     },
     close: () => {
-      usual.destroy()
-      fresh.destroy()
+      defaultAgent.destroy()
+      shortIdleAgent.destroy()
     }
   }
 }
 
-/** A connection that was dropped before is reset within a round trip, in ms; a request that ran first takes longer. */
-const promptResetMs = 15
+/** A reset within this time, in ms, means the connection was already dropped: that takes one round trip, while a request that ran takes longer. */
+const droppedResetMs = 15
 /**
- * So long after a reused connection was reset at once, in ms, only fresh ones carry what must not run twice.
- * Being wary at all times makes half of all sends open a connection, twice as many as without.
+ * How long after such a reset requests that must not run twice avoid connections with a long idle time, in ms.
+ * Avoiding them always makes half of all requests open a connection, twice as many as without.
  */
-const waryMs = 10_000
+const avoidIdleMs = 10_000
 
-function createAgent (idleMs: number): http.Agent {
-  return new http.Agent({ keepAlive: true, scheduling: 'lifo', timeout: idleMs, maxSockets: Infinity })
+function createAgent (idleTimeoutMs: number): http.Agent {
+  return new http.Agent({ keepAlive: true, scheduling: 'lifo', timeout: idleTimeoutMs, maxSockets: Infinity })
 }
 
 function startExchange (agent: http.Agent, request: OutgoingRequest, sink: AnswerSink): Exchange {
@@ -122,7 +127,7 @@
     port: Number(request.address.slice(colon + 1)),
     method: request.method,
     path: request.path,
-    // An array is sent as it stands; the types do not know that.
+    // Node.js sends an array of alternating names and values unchanged; the type declarations do not cover that.
     headers: headers as unknown as http.OutgoingHttpHeaders,
     setHost: false
   })
@@ -131,19 +136,20 @@
 
 class HttpExchange implements Exchange {
   private res: http.IncomingMessage | undefined
-  private done = false
-  private connected = false
-  /** Something was sent that the other side may act on. */
-  private sent = false
-  private retired = false
-  private startTimer: NodeJS.Timeout | undefined
+  private isDone = false
+  private isConnected = false
+  /** Whether anything was sent that the server may act on. */
+  private hasSent = false
+  private isUnfitForReuse = false
+  /** Limits connecting first, then the wait for `100 Continue`. */
+  private phaseTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly req: http.ClientRequest, private readonly request: OutgoingRequest, private readonly sink: AnswerSink) {
     req.on('socket', (socket) => {
       if (socket.connecting) socket.once('connect', () => { this.onConnect() })
       else this.onConnect()
     })
-    this.startTimer = setTimeout(() => { this.failWith('connect', 'connection not established in time') }, request.connectTimeoutMs)
+    this.phaseTimer = setTimeout(() => { this.failWith('connect', 'connection not established within the connect timeout') }, request.connectTimeoutMs)
     req.on('response', (res) => { this.onResponse(res) })
     req.on('error', (err) => { this.onError(err) })
     req.on('close', () => { this.failWith('reset', 'connection closed') })
@@ -156,9 +162,9 @@
   }
 
   private sendBody (): void {
-    if (this.done) return
-    clearTimeout(this.startTimer)
-    this.sent = true
+    if (this.isDone) return
+    clearTimeout(this.phaseTimer)
+    this.hasSent = true
     this.req.end(this.request.body)
   }
 
@@ -176,58 +182,58 @@
   }
 
   private onConnect (): void {
-    this.connected = true
-    clearTimeout(this.startTimer)
-    const { continueTimeoutMs: confirmMs } = this.request
-    if (confirmMs === undefined) this.sent = true
-    else if (!this.done) this.startTimer = setTimeout(() => { this.failWith('unconfirmed', 'no go-ahead in time') }, confirmMs)
+    this.isConnected = true
+    clearTimeout(this.phaseTimer)
+    const { continueTimeoutMs } = this.request
+    if (continueTimeoutMs === undefined) this.hasSent = true
+    else if (!this.isDone) this.phaseTimer = setTimeout(() => { this.failWith('unconfirmed', 'no 100 Continue within the time limit') }, continueTimeoutMs)
   }
 
   private onResponse (res: http.IncomingMessage): void {
-    if (this.done) return
-    clearTimeout(this.startTimer)
+    if (this.isDone) return
+    clearTimeout(this.phaseTimer)
     this.res = res
-    // An answer that came before the request was out leaves bytes on the way that belong to this request.
-    if (!this.req.writableFinished) this.retired = true
-    res.on('data', (chunk: Buffer) => { if (!this.done) this.sink.onData(chunk) })
+    // The answer arrived before the request was fully written: later bytes of this request would corrupt the next one on the connection.
+    if (!this.req.writableFinished) this.isUnfitForReuse = true
+    res.on('data', (chunk: Buffer) => { if (!this.isDone) this.sink.onData(chunk) })
     res.on('end', () => { this.onEnd(res) })
     res.on('error', (err) => { this.onError(err) })
     this.sink.onHead({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
   }
 
   private onEnd (res: http.IncomingMessage): void {
-    if (this.done) return
+    if (this.isDone) return
     if (!res.complete) {
-      this.failWith('truncated', 'connection closed within the answer')
+      this.failWith('truncated', 'connection closed before the answer was complete')
       return
     }
     this.finish()
-    if (this.retired) this.req.destroy()
+    if (this.isUnfitForReuse) this.req.destroy()
     this.sink.onComplete()
   }
 
   private onError (err: Error): void {
     const code = (err as NodeJS.ErrnoException).code ?? ''
-    const malformed = code.startsWith('HPE_')
+    const isMalformed = code.startsWith('HPE_')
     if (code === 'ECONNREFUSED') {
       this.failWith('refused', err.message)
       return
     }
-    if (malformed) this.failWith('malformed', `${code} ${err.message}`)
+    if (isMalformed) this.failWith('malformed', `${code} ${err.message}`)
     else this.failWith(this.res === undefined ? 'reset' : 'truncated', `${code} ${err.message}`)
   }
 
-  /** Nothing can have run before the connection was made and the body was asked for. */
+  /** Fails the exchange. The request cannot have run before the connection was established and, with `continueTimeoutMs`, `100 Continue` arrived. */
   private failWith (cause: SendFailure['cause'], detail: string): void {
-    if (this.done) return
-    const actual = this.connected || cause === 'refused' ? cause : 'connect'
+    if (this.isDone) return
+    const actualCause = this.isConnected || cause === 'refused' ? cause : 'connect'
     this.finish()
     this.req.destroy()
-    this.sink.onFailed({ verdict: this.sent ? 'mayHaveRun' : 'notRun', cause: actual, detail, reused: this.req.reusedSocket })
+    this.sink.onFailed({ verdict: this.hasSent ? 'mayHaveRun' : 'notRun', cause: actualCause, detail, reused: this.req.reusedSocket })
   }
 
   private finish (): void {
-    this.done = true
-    clearTimeout(this.startTimer)
+    this.isDone = true
+    clearTimeout(this.phaseTimer)
   }
 }
--- a/packages/peers/shard-log/src/index.ts
+++ b/packages/peers/shard-log/src/index.ts
@@ -1,3 +1,3 @@
-/** The port to the store that keeps the shards: fenced appends, newest records, group leases. */
+/** Interface to the store that holds the shards: fenced appends, newest records, group leases. */
 export * from './shard-log.js'
 export * from './store-call.js'
--- a/packages/peers/shard-log/src/shard-log.ts
+++ b/packages/peers/shard-log/src/shard-log.ts
@@ -1,38 +1,38 @@
-/** The port to the store that keeps the shards. An adapter implements it; a stand-in does so for tests. */
+/** Interface to the store that holds the shards. Implemented by an adapter to the real store, and by a stand-in for tests. */
 import type * as types from '@eelgrasswind/types'
 
 /** A partition of one of the system's topics. */
 export interface Partition {
   readonly topic: string
-  /** From 0. */
+  /** Number of the partition within its topic, from 0. */
   readonly part: number
 }
 
-/** One keyed record; without a value it removes the key. */
+/** A keyed record. Without a value it removes the key. */
 export interface KeyedRecord {
   readonly key: string
   readonly value: Uint8Array | undefined
 }
 
-/** An append that the store takes only from the newest writer of the partition, and once. */
+/** An append that the store accepts only from the writer with the newest epoch, and only once. */
 export interface FencedAppend {
   readonly partition: Partition
-  /** The store refuses every epoch lower than one that it has seen from this producer. */
+  /** Fencing token. The store rejects an epoch lower than the highest one it has seen from this producer; all writers of a partition act as one producer. */
   readonly epoch: number
-  /** Counts the appends of an epoch from 0; a repeat is answered as the first was. */
+  /** Number of the append within its epoch, from 0. A repeated number gets the same answer as the first and stores nothing. */
   readonly sequence: number
-  /** Empty: nothing is stored, the epoch is set. */
+  /** If empty, the append only sets the epoch. */
   readonly records: readonly KeyedRecord[]
 }
 
 /** Why a call gave no result. */
 export type StoreFailure =
-  /** Nothing was done; worth another try after a pause. */
+  /** Had no effect; retry after a delay. */
   | { readonly type: 'refused', readonly status: number }
-  /** No answer: it may have been done, or may still be. */
+  /** No answer: the call may have taken effect, or may still do so. */
   | { readonly type: 'noAnswer', readonly detail: string }
 
-/** What the store says to an append. */
+/** Result of an append. */
 export type AppendOutcome =
   | { readonly type: 'appended' }
   /** Another writer has set a higher epoch. */
@@ -41,17 +41,17 @@
   | { readonly type: 'outOfSequence', readonly detail: string }
   | StoreFailure
 
-/** A page of the newest records of a partition. */
+/** A page of the newest record of each key of a partition. */
 export interface NewestPage {
   readonly type: 'page'
   readonly records: readonly { readonly key: string, readonly value: Uint8Array }[]
-  /** Continue after this key; `undefined` on the last page. */
+  /** Key after which the next page starts; `undefined` on the last page. */
   readonly after: string | undefined
-  /** Offset at which reading on finds everything newer than this page. */
+  /** Offset from which `read` returns everything newer than this page. */
   readonly end: number
 }
 
-/** Records of a partition in the order in which they were appended. */
+/** Records of a partition, in append order. */
 export interface RecordPage {
   readonly type: 'records'
   readonly records: readonly KeyedRecord[]
@@ -59,43 +59,44 @@
   readonly next: number
 }
 
-/** Asks for what was appended from an offset on. */
+/** Reads the records from an offset on. */
 export interface ReadRequest {
   readonly partition: Partition
-  /** Offset of the first record wanted. */
+  /** Offset of the first record to read. */
   readonly from: number
-  /** How long the store may wait for a record, in ms; 0 answers at once. */
+  /** Long-poll time: how long the store may wait for a record, in ms; 0 answers at once. */
   readonly waitMs: number
 }
 
-/** Asks for a share of the partitions, or renews the lease. */
+/** Joins a group to be assigned a share of the partitions of its topics, or renews the member's lease. */
 export interface JoinRequest {
   readonly group: string
   readonly member: string
   readonly topics: readonly string[]
+  /** Duration of the lease, in ms. */
   readonly ttlMs: number
-  /** The last generation that this member has acted on; 0 before the first. */
+  /** Generation of the last assignment that this member has applied; 0 before the first. */
   readonly generation: number
 }
 
-/** What the group deals to this member. */
+/** The partitions that the group assigns to a member. */
 export interface Assignment {
   readonly type: 'assigned'
   readonly generation: number
   readonly partitions: readonly Partition[]
 }
 
-/** Who holds a partition now. */
+/** The member that currently owns a partition. */
 export interface Owner {
   readonly partition: Partition
   readonly member: string
 }
 
-/** The calls to the store. None throws: a call without a result gives a `StoreFailure`. */
+/** Calls to the store. They never throw; a call without a result resolves to a `StoreFailure`. */
 export interface ShardLog {
   readonly append: (request: FencedAppend) => Promise<AppendOutcome>
   readonly readNewest: (partition: Partition, after: string | undefined) => Promise<NewestPage | StoreFailure>
-  /** `expired`: records after `from` are gone, only the newest of each key can be had. */
+  /** `expired`: records after `from` are no longer stored; only the newest record of each key is available, from `readNewest`. */
   readonly read: (request: ReadRequest) => Promise<RecordPage | { readonly type: 'expired' } | StoreFailure>
   /** Joins the group, or renews the lease of a member. */
   readonly join: (request: JoinRequest) => Promise<Assignment | StoreFailure>
@@ -103,7 +104,7 @@
   readonly listOwners: (group: string) => Promise<{ readonly type: 'owners', readonly owners: readonly Owner[] } | StoreFailure>
 }
 
-/** Text that identifies a partition. */
+/** Formats a partition as TOPIC/PART. */
 export function formatPartitionName (partition: Partition): types.Branded<string, 'PartitionName'> {
   return `${partition.topic}/${partition.part}` as types.Branded<string, 'PartitionName'>
 }
--- a/packages/peers/shard-log/src/store-call.ts
+++ b/packages/peers/shard-log/src/store-call.ts
@@ -1,7 +1,7 @@
-/** The calls of the shard log as values, so that one process can make them for another. */
+/** Shard log calls as values, so that one process can make them on behalf of another. */
 import type * as shardLog from './shard-log.js'
 
-/** One call with its arguments. */
+/** A call with its arguments. */
 export type StoreCall =
   | { readonly type: 'append', readonly request: shardLog.FencedAppend }
   | { readonly type: 'newest', readonly partition: shardLog.Partition, readonly after: string | undefined }
@@ -10,10 +10,10 @@
   | { readonly type: 'leave', readonly group: string, readonly member: string }
   | { readonly type: 'owners', readonly group: string }
 
-/** Any answer of any call. */
+/** Result of any of the calls. */
 export type StoreAnswer = Awaited<ReturnType<shardLog.ShardLog[keyof shardLog.ShardLog]>>
 
-/** Makes the call at a log; the answer is that of the method of the same name. */
+/** Makes the call on a log and returns the result of the corresponding method. */
 export function runStoreCall (log: shardLog.ShardLog, call: StoreCall): Promise<StoreAnswer> {
   switch (call.type) {
     case 'append': return log.append(call.request)
@@ -25,24 +25,24 @@
   }
 }
 
-/** A shard log whose calls go through one function. */
-export function createShardLog (run: (call: StoreCall) => Promise<StoreAnswer>): shardLog.ShardLog {
-  // Each call gets the answer of its own method: `runStoreCall` returns no other.
+/** Creates a shard log that passes each call, as a value, to one function. */
+export function createShardLog (makeCall: (call: StoreCall) => Promise<StoreAnswer>): shardLog.ShardLog {
+  // The casts hold because `runStoreCall` returns the result of the method that corresponds to the call.
   return {
-    append: (request) => run({ type: 'append', request }) as ReturnType<shardLog.ShardLog['append']>,
-    readNewest: (partition, after) => run({ type: 'newest', partition, after }) as ReturnType<shardLog.ShardLog['readNewest']>,
-    read: (request) => run({ type: 'read', request }) as ReturnType<shardLog.ShardLog['read']>,
-    join: (request) => run({ type: 'join', request }) as ReturnType<shardLog.ShardLog['join']>,
-    leave: (group, member) => run({ type: 'leave', group, member }) as ReturnType<shardLog.ShardLog['leave']>,
-    listOwners: (group) => run({ type: 'owners', group }) as ReturnType<shardLog.ShardLog['listOwners']>
+    append: (request) => makeCall({ type: 'append', request }) as ReturnType<shardLog.ShardLog['append']>,
+    readNewest: (partition, after) => makeCall({ type: 'newest', partition, after }) as ReturnType<shardLog.ShardLog['readNewest']>,
+    read: (request) => makeCall({ type: 'read', request }) as ReturnType<shardLog.ShardLog['read']>,
+    join: (request) => makeCall({ type: 'join', request }) as ReturnType<shardLog.ShardLog['join']>,
+    leave: (group, member) => makeCall({ type: 'leave', group, member }) as ReturnType<shardLog.ShardLog['leave']>,
+    listOwners: (group) => makeCall({ type: 'owners', group }) as ReturnType<shardLog.ShardLog['listOwners']>
   }
 }
 
-/** Statuses with which a store turns a caller away rather than answers it. */
-const turnedAway: ReadonlySet<number> = new Set([429, 503])
+/** HTTP statuses with which a store refuses to serve the caller: rate limited or unavailable. */
+const refusalStatuses: ReadonlySet<number> = new Set([429, 503])
 
-/** Whether the caller, or the way to the store, is at fault, so that another process may fare better. */
+/** Whether the failure concerns only this caller or its network path to the store, so that another process may succeed with the call. */
 export function isRetryableElsewhere (answer: StoreAnswer): answer is shardLog.StoreFailure {
   if (answer.type === 'noAnswer') return true
-  return answer.type === 'refused' && turnedAway.has(answer.status)
+  return answer.type === 'refused' && refusalStatuses.has(answer.status)
 }
