--- a/packages/peers/engine-client/src/assemble-answer.ts
+++ b/packages/peers/engine-client/src/assemble-answer.ts
@@ -1,20 +1,20 @@
-/** Puts the pieces of a streamed answer together and checks that they make one whole answer. */
+/** Assembles a streamed chat completion and checks that it is complete and belongs to its request. */
 import type * as types from '@eelgrasswind/types'
 import type * as engineClient from './engine-client.js'
 
-type Members = Readonly<Record<string, unknown>>
+type JsonObject = Readonly<Record<string, unknown>>
 
-/** What is wrong with an answer. */
+/** Why an answer is unusable: an event is not a JSON object, belongs to another request, or the end or the token usage is missing. */
 export type AnswerFault = 'notJson' | 'otherRequest' | 'noEnd' | 'noUsage'
 
-export type Assembled =
+export type AssemblyResult =
   | { readonly type: 'whole', readonly answer: engineClient.EngineAnswer }
   | { readonly type: 'broken', readonly fault: AnswerFault }
 
-export interface AnswerAssembly {
-  /** Takes one event; true once the answer is whole or broken. */
-  take: (data: string) => boolean
-  result: () => Assembled
+export interface AnswerAssembler {
+  /** Adds the data of one event. Returns whether the answer has ended or turned out to be broken. */
+  addEvent: (data: string) => boolean
+  getResult: () => AssemblyResult
 }
 
 interface ToolCall {
@@ -24,113 +24,114 @@
   arguments: string
 }
 
-const doneMark = '[DONE]'
+const doneMarker = '[DONE]'
 
-function membersOf (value: unknown): Members | undefined {
-  return typeof value === 'object' && value !== null ? value as Members : undefined
+function toObject (value: unknown): JsonObject | undefined {
+  return typeof value === 'object' && value !== null ? value as JsonObject : undefined
 }
 
-function parse (data: string): Members | undefined {
+function parseObject (data: string): JsonObject | undefined {
   try {
-    return membersOf(JSON.parse(data))
+    return toObject(JSON.parse(data))
   } catch {
     return undefined
   }
 }
 
-function countOf (value: unknown): number {
+function toCount (value: unknown): number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0 ? value : 0
 }
 
-function tokensOf (usage: Members): types.TokenCount {
-  const details = membersOf(usage['prompt_tokens_details'])
+function parseUsage (usage: JsonObject): types.TokenCount {
+  const details = toObject(usage['prompt_tokens_details'])
   return {
-    prompt: countOf(usage['prompt_tokens']),
-    cached: countOf(details?.['cached_tokens']),
-    generated: countOf(usage['completion_tokens'])
+    prompt: toCount(usage['prompt_tokens']),
+    cached: toCount(details?.['cached_tokens']),
+    generated: toCount(usage['completion_tokens'])
   }
 }
 
-/** Engines name an answer by the id of its request, some with a prefix. */
-function isOwnId (id: unknown, requestId: string): boolean {
+/** Engines return the request id as the id of the answer, some with a prefix. */
+function isIdOfRequest (id: unknown, requestId: string): boolean {
   return id === requestId || id === `chatcmpl-${requestId}`
 }
 
-export function createAnswerAssembly (requestId: string, onDelta: (text: string) => void): AnswerAssembly {
+/** Creates an assembler for the answer to one request. `onDelta` gets each non-empty piece of the content. */
+export function createAnswerAssembler (requestId: string, onDelta: (text: string) => void): AnswerAssembler {
   const toolCalls: ToolCall[] = []
   let role = 'assistant'
   let content = ''
-  let others: Members = {}
+  let otherFields: JsonObject = {}
   let finishReason: string | undefined
   let tokens: types.TokenCount | undefined
-  let done = false
+  let isDone = false
   let fault: AnswerFault | undefined
 
-  function addToolCall (piece: Members): void {
-    const index = countOf(piece['index'])
-    const called = membersOf(piece['function'])
+  function addToolCall (toolCallDelta: JsonObject): void {
+    const index = toCount(toolCallDelta['index'])
+    const functionDelta = toObject(toolCallDelta['function'])
     const call = toolCalls[index] ?? { id: undefined, type: undefined, name: '', arguments: '' }
     toolCalls[index] = call
-    if (typeof piece['id'] === 'string') call.id = piece['id']
-    if (typeof piece['type'] === 'string') call.type = piece['type']
-    if (typeof called?.['name'] === 'string') call.name += called['name']
-    if (typeof called?.['arguments'] === 'string') call.arguments += called['arguments']
+    if (typeof toolCallDelta['id'] === 'string') call.id = toolCallDelta['id']
+    if (typeof toolCallDelta['type'] === 'string') call.type = toolCallDelta['type']
+    if (typeof functionDelta?.['name'] === 'string') call.name += functionDelta['name']
+    if (typeof functionDelta?.['arguments'] === 'string') call.arguments += functionDelta['arguments']
   }
 
-  function addDelta (delta: Members): void {
-    const { role: newRole, content: text, tool_calls: calls, ...more } = delta
+  function addDelta (delta: JsonObject): void {
+    const { role: newRole, content: text, tool_calls: calls, ...otherDeltaFields } = delta
     if (typeof newRole === 'string') role = newRole
-    if (Array.isArray(calls)) for (const piece of calls) addToolCall(membersOf(piece) ?? {})
-    for (const [name, value] of Object.entries(more)) addOther(name, value)
+    if (Array.isArray(calls)) for (const toolCallDelta of calls) addToolCall(toObject(toolCallDelta) ?? {})
+    for (const [name, value] of Object.entries(otherDeltaFields)) appendField(name, value)
     if (typeof text !== 'string' || text === '') return
     content += text
     onDelta(text)
   }
 
-  /** Further text members, such as a reasoning text, come in pieces too. */
-  function addOther (name: string, value: unknown): void {
-    const before = others[name]
-    others = { ...others, [name]: typeof before === 'string' && typeof value === 'string' ? before + value : value }
+  /** Other text fields, such as reasoning, are streamed in pieces too and concatenated. */
+  function appendField (name: string, value: unknown): void {
+    const previous = otherFields[name]
+    otherFields = { ...otherFields, [name]: typeof previous === 'string' && typeof value === 'string' ? previous + value : value }
   }
 
-  function addChoice (choice: Members): void {
-    const delta = membersOf(choice['delta'])
+  function addChoice (choice: JsonObject): void {
+    const delta = toObject(choice['delta'])
     if (delta !== undefined) addDelta(delta)
     if (typeof choice['finish_reason'] === 'string') finishReason = choice['finish_reason']
   }
 
-  function addChunk (chunk: Members): void {
-    const choice = Array.isArray(chunk['choices']) ? membersOf(chunk['choices'][0]) : undefined
-    const usage = membersOf(chunk['usage'])
+  function addChunk (chunk: JsonObject): void {
+    const choice = Array.isArray(chunk['choices']) ? toObject(chunk['choices'][0]) : undefined
+    const usage = toObject(chunk['usage'])
     if (choice !== undefined) addChoice(choice)
-    if (usage !== undefined) tokens = tokensOf(usage)
+    if (usage !== undefined) tokens = parseUsage(usage)
   }
 
-  function take (data: string): boolean {
-    if (done || fault !== undefined) return true
-    if (data === doneMark) {
-      done = true
+  function addEvent (data: string): boolean {
+    if (isDone || fault !== undefined) return true
+    if (data === doneMarker) {
+      isDone = true
       return true
     }
-    const chunk = parse(data)
+    const chunk = parseObject(data)
     if (chunk === undefined) fault = 'notJson'
-    else if (!isOwnId(chunk['id'], requestId)) fault = 'otherRequest'
+    else if (!isIdOfRequest(chunk['id'], requestId)) fault = 'otherRequest'
     else addChunk(chunk)
     return fault !== undefined
   }
 
-  function message (): types.ChatMessage {
+  function buildMessage (): types.ChatMessage {
     const calls = toolCalls.map((call) => ({ id: call.id, type: call.type ?? 'function', function: { name: call.name, arguments: call.arguments } }))
     const text = content === '' && calls.length > 0 ? null : content
-    return { ...others, role, content: text, ...(calls.length > 0 ? { tool_calls: calls } : {}) }
+    return { ...otherFields, role, content: text, ...(calls.length > 0 ? { tool_calls: calls } : {}) }
   }
 
-  function result (): Assembled {
+  function getResult (): AssemblyResult {
     if (fault !== undefined) return { type: 'broken', fault }
-    if (!done || finishReason === undefined) return { type: 'broken', fault: 'noEnd' }
+    if (!isDone || finishReason === undefined) return { type: 'broken', fault: 'noEnd' }
     if (tokens === undefined) return { type: 'broken', fault: 'noUsage' }
-    return { type: 'whole', answer: { message: message(), finishReason, tokens } }
+    return { type: 'whole', answer: { message: buildMessage(), finishReason, tokens } }
   }
 
-  return { take, result }
+  return { addEvent, getResult }
 }
--- a/packages/peers/engine-client/src/engine-client.test.ts
+++ b/packages/peers/engine-client/src/engine-client.test.ts
@@ -15,10 +15,10 @@
 const upstream = 'engine-1' as types.UpstreamId
 const model = 'agent' as types.ModelId
 const session = 'p1' as types.ProgramId
-const never = new AbortController().signal
+const neverAborted = new AbortController().signal
 const maxTokens = 24
 
-interface Bench {
+interface Fixture {
   readonly engine: standIns.EngineStandIn
   readonly client: ReturnType<typeof engineClient.createEngineClient>
   readonly deltas: string[]
@@ -32,43 +32,43 @@
   readonly priority: number
 }
 
-async function bench (t: TestScope, settings: Partial<standIns.EngineSettings> = {}): Promise<Bench> {
+async function createFixture (t: TestScope, settings: Partial<standIns.EngineSettings> = {}): Promise<Fixture> {
   const engine = await standIns.createEngineStandIn({ tokenMs: 0, prefillTokensPerSecond: null, ...settings, port: 0 })
   const client = engineClient.createEngineClient({ upstream, address: engine.address, timeoutMs: 2000 })
   t.teardown(async () => { await engine.close(); await client.close() })
   const deltas: string[] = []
-  const call: Bench['call'] = (requestId, options = {}) => client.complete({
+  const call: Fixture['call'] = (requestId, options = {}) => client.complete({
     requestId,
     model,
-    messages: options.messages ?? promptOf(requestId),
+    messages: options.messages ?? createPrompt(requestId),
     maxTokens,
     options: { temperature: 0 },
     priority: options.priority ?? 0,
     session: options.session ?? session
-  }, { signal: options.signal ?? never, onDelta: (text) => { deltas.push(text) } })
+  }, { signal: options.signal ?? neverAborted, onDelta: (text) => { deltas.push(text) } })
   return { engine, client, deltas, call }
 }
 
-function promptOf (requestId: string): types.ChatMessage[] {
+function createPrompt (requestId: string): types.ChatMessage[] {
   return [{ role: 'system', content: 'You take rosters.' }, { role: 'user', content: `Roster of ${requestId}, please.` }]
 }
 
-/** The text that the stand-in must answer to a request. */
-function expectedText (requestId: string): string {
-  return standIns.answerTo({ model, messages: promptOf(requestId), maxTokens, ignoreEnd: false }).text
+/** The text with which the stand-in answers a request. */
+function getExpectedText (requestId: string): string {
+  return standIns.answerTo({ model, messages: createPrompt(requestId), maxTokens, ignoreEnd: false }).text
 }
 
-async function until (check: () => boolean): Promise<void> {
+async function waitUntil (check: () => boolean): Promise<void> {
   while (!check()) await new Promise((resolve) => { setTimeout(resolve, 5) })
 }
 
-tap.test('an answer is whole, streamed and its own', async (t) => {
-  const { engine, call, deltas } = await bench(t)
-  const one = await call('r1')
-  t.match(one, { ok: true, value: { message: { role: 'assistant', content: expectedText('r1') }, finishReason: 'stop', tokens: { cached: 0 } } })
-  t.equal(deltas.join(''), expectedText('r1'))
-  const many = await Promise.all(Array.from({ length: 40 }, (_, i) => call(`m${i}`)))
-  many.forEach((answer, i) => t.match(answer, { ok: true, value: { message: { content: expectedText(`m${i}`) } } }))
+tap.test('each answer is complete, streamed, and belongs to its request', async (t) => {
+  const { engine, call, deltas } = await createFixture(t)
+  const answer = await call('r1')
+  t.match(answer, { ok: true, value: { message: { role: 'assistant', content: getExpectedText('r1') }, finishReason: 'stop', tokens: { cached: 0 } } })
+  t.equal(deltas.join(''), getExpectedText('r1'))
+  const others = await Promise.all(Array.from({ length: 40 }, (_, i) => call(`m${i}`)))
+  others.forEach((answer, i) => t.match(answer, { ok: true, value: { message: { content: getExpectedText(`m${i}`) } } }))
   t.equal(engine.executions('r1'), 1)
 })
 
@@ -92,110 +92,110 @@
 ]
 
 for (const { fault, expected, executions } of cases) {
-  tap.test(`${JSON.stringify(fault)} gives its verdict`, async (t) => {
-    const { engine, call, deltas } = await bench(t)
+  tap.test(`${JSON.stringify(fault)} maps to its failure and verdict`, async (t) => {
+    const { engine, call, deltas } = await createFixture(t)
     await call('before')
     engine.faults.set(fault, { scope: session, times: 1 })
-    const asker = new AbortController()
-    const struck = call('struck', { signal: asker.signal })
+    const controller = new AbortController()
+    const faultedCall = call('struck', { signal: controller.signal })
     if (fault.type === 'neverEnd') {
-      await until(() => deltas.join('').endsWith(expectedText('struck')))
-      asker.abort(new DOMException('too late', 'TimeoutError'))
+      await waitUntil(() => deltas.join('').endsWith(getExpectedText('struck')))
+      controller.abort(new DOMException('too late', 'TimeoutError'))
     }
-    t.match(await struck, { ok: false, failure: expected })
+    t.match(await faultedCall, { ok: false, failure: expected })
     t.equal(engine.executions('struck'), executions)
-    t.match(await call('after'), { ok: true, value: { message: { content: expectedText('after') } } })
+    t.match(await call('after'), { ok: true, value: { message: { content: getExpectedText('after') } } })
   })
 }
 
-tap.test('events behind the closing marker are dropped', async (t) => {
-  const { engine, call, deltas } = await bench(t)
+tap.test('events after the end marker are ignored', async (t) => {
+  const { engine, call, deltas } = await createFixture(t)
   engine.faults.set({ type: 'duplicate' })
-  for (const id of ['r1', 'r2', 'r3']) t.match(await call(id), { ok: true, value: { message: { content: expectedText(id) } } })
-  t.equal(deltas.join(''), ['r1', 'r2', 'r3'].map(expectedText).join(''))
+  for (const id of ['r1', 'r2', 'r3']) t.match(await call(id), { ok: true, value: { message: { content: getExpectedText(id) } } })
+  t.equal(deltas.join(''), ['r1', 'r2', 'r3'].map(getExpectedText).join(''))
 })
 
-tap.test('an over-reported usage is passed on as reported', async (t) => {
-  const { engine, call } = await bench(t)
-  const honest = await call('r1')
+tap.test('an over-reported token usage is returned as reported', async (t) => {
+  const { engine, call } = await createFixture(t)
+  const accurate = await call('r1')
   engine.faults.set({ type: 'overReportUsage', factor: 10 }, { times: 1 })
-  const inflated = await call('r1', { session: 'p2' as types.ProgramId })
-  if (!honest.ok || !inflated.ok) throw new Error('no answer')
-  t.equal(inflated.value.tokens.generated, 10 * honest.value.tokens.generated)
+  const overReported = await call('r1', { session: 'p2' as types.ProgramId })
+  if (!accurate.ok || !overReported.ok) throw new Error('no answer')
+  t.equal(overReported.value.tokens.generated, 10 * accurate.value.tokens.generated)
 })
 
-tap.test('no connection means not run', async (t) => {
-  const { engine, call, client } = await bench(t)
+tap.test('a request without a connection has not run', async (t) => {
+  const { engine, call, client } = await createFixture(t)
   await engine.close()
   t.match(await call('r1'), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
   t.match(await client.getLoad(), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
 })
 
-tap.test('a cancelled generation stops on the engine and frees its memory', async (t) => {
-  const { engine, call, deltas } = await bench(t, { tokenMs: 5 })
-  const asker = new AbortController()
-  const running = call('r1', { signal: asker.signal })
-  await until(() => deltas.length > 0)
-  asker.abort()
+tap.test('cancelling a generation stops it on the engine and frees its cache', async (t) => {
+  const { engine, call, deltas } = await createFixture(t, { tokenMs: 5 })
+  const controller = new AbortController()
+  const running = call('r1', { signal: controller.signal })
+  await waitUntil(() => deltas.length > 0)
+  controller.abort()
   t.match(await running, { ok: false, failure: { tag: 'cancelled', verdict: 'ran' } })
-  await until(() => engine.counters().cancelled === 1)
+  await waitUntil(() => engine.counters().cancelled === 1)
   t.same(engine.sessions(), [])
   t.match(await call('early', { signal: AbortSignal.abort() }), { ok: false, failure: { tag: 'cancelled', verdict: 'notRun' } })
   t.equal(engine.executions('early'), 0)
 })
 
-tap.test('a request that the engine finds wrong has not run', async (t) => {
-  const { engine, call } = await bench(t, { cacheCapacity: 30 })
+tap.test('a request that the engine rejects as invalid has not run', async (t) => {
+  const { engine, call } = await createFixture(t, { cacheCapacity: 30 })
   t.match(await call('r1'), { ok: false, failure: { tag: 'upstreamFailed', verdict: 'notRun', status: 400 } })
   t.equal(engine.executions('r1'), 0)
 })
 
-tap.test('a session\'s prefix is cached, held and released', async (t) => {
-  const { call, client, engine } = await bench(t, { cacheCapacity: 200 })
+tap.test('the prefix of a session is cached, pinned and released', async (t) => {
+  const { call, client, engine } = await createFixture(t, { cacheCapacity: 200 })
   t.match(await client.hold(session), { ok: false, failure: { tag: 'upstreamFailed', status: 404, verdict: 'notRun' } })
   const first = await call('r1')
   if (!first.ok) throw new Error('no answer')
   t.same(await client.hold(session), { ok: true, value: undefined })
-  const used = first.value.tokens.prompt + first.value.tokens.generated
-  t.same(await client.listHeldSessions(), { ok: true, value: [{ session, tokens: used }] })
+  const usedTokens = first.value.tokens.prompt + first.value.tokens.generated
+  t.same(await client.listHeldSessions(), { ok: true, value: [{ session, tokens: usedTokens }] })
   for (let i = 0; i < 20; i += 1) await call(`o${i}`, { session: `other-${i}` as types.ProgramId })
-  const messages = [...promptOf('r1'), first.value.message, { role: 'user', content: 'And the sizes?' }]
+  const messages = [...createPrompt('r1'), first.value.message, { role: 'user', content: 'And the sizes?' }]
   const second = await call('r2', { messages })
-  t.match(second, { ok: true, value: { tokens: { cached: used } } })
-  t.ok(engine.sessions().length < 20, 'others were evicted')
+  t.match(second, { ok: true, value: { tokens: { cached: usedTokens } } })
+  t.ok(engine.sessions().length < 20, 'other sessions were evicted')
   await client.release(session)
   t.same(await client.listHeldSessions(), { ok: true, value: [] })
-  t.notOk(engine.sessions().some((one) => one.session === session))
+  t.notOk(engine.sessions().some((cached) => cached.session === session))
 })
 
-tap.test('load and cache events come late and with gaps', async (t) => {
-  const { call, client } = await bench(t, { loadLagMs: 60_000, eventLossEvery: 2 })
+tap.test('load is stale and cache events have gaps, as configured in the stand-in', async (t) => {
+  const { call, client } = await createFixture(t, { loadLagMs: 60_000, eventLossEvery: 2 })
   await call('r1')
   t.match(await client.getLoad(), { ok: true, value: { upstream, running: 0, waiting: 0, cacheTokens: 0, cacheCapacity: 200_000 } })
   t.match(await client.readCacheEvents(0), { ok: true, value: [{ seq: 0, type: 'stored', session }, { seq: 2, type: 'stored', session }] })
   t.match(await client.readCacheEvents(1), { ok: true, value: [{ seq: 2 }] })
-  const prompt = await bench(t)
-  await prompt.call('r1')
-  const used = prompt.engine.sessions().reduce((sum, one) => sum + one.tokens, 0)
-  t.ok(used > 0)
-  t.match(await prompt.client.getLoad(), { ok: true, value: { running: 0, cacheTokens: used } })
+  const withoutLag = await createFixture(t)
+  await withoutLag.call('r1')
+  const usedTokens = withoutLag.engine.sessions().reduce((sum, cached) => sum + cached.tokens, 0)
+  t.ok(usedTokens > 0)
+  t.match(await withoutLag.client.getLoad(), { ok: true, value: { running: 0, cacheTokens: usedTokens } })
 })
 
-tap.test('an order under an old fencing number is refused, or not, by the engine', async (t) => {
+tap.test('an order with an old fencing token is rejected only by an engine that checks tokens', async (t) => {
   const order = { type: 'loadModel', model, version: 'v2' } as const
-  const checking = await bench(t)
+  const checking = await createFixture(t)
   t.match(await checking.client.sendOrder(order, 7), { ok: true })
   t.match(await checking.client.sendOrder({ ...order, version: 'v1' }, 6), { ok: false, failure: { tag: 'upstreamFailed', status: 409, verdict: 'notRun' } })
   t.match(await checking.client.sendOrder({ type: 'loadAdapter', model, adapter: 'a1' }, 7), { ok: true })
   t.match(await checking.client.getState(), { ok: true, value: { models: [{ model, version: 'v2' }], adapters: ['a1'], role: 'both', fencing: 7 } })
-  const ignoring = await bench(t, { checksFencing: false })
+  const ignoring = await createFixture(t, { checksFencing: false })
   await ignoring.client.sendOrder(order, 7)
   t.match(await ignoring.client.sendOrder({ type: 'setRole', role: 'decode' }, 6), { ok: true })
   t.match(await ignoring.client.getState(), { ok: true, value: { role: 'decode', fencing: 0 } })
 })
 
-tap.test('short requests give verdicts too', async (t) => {
-  const { engine, client } = await bench(t)
+tap.test('failures of control requests carry verdicts', async (t) => {
+  const { engine, client } = await createFixture(t)
   const order = { type: 'setRole', role: 'prefill' } as const
   const failures = [['refuse', 'notRun', 0], ['reset', 'mayHaveRun', 0], ['loseAnswer', 'mayHaveRun', 1]] as const
   for (const [how, verdict, orders] of failures) {
@@ -205,16 +205,16 @@
   }
   engine.faults.set({ type: 'control', on: 'state', how: 'hang' }, { times: 1 })
   const timers = timerService.createManualTimers()
-  const hurried = engineClient.createEngineClient({ upstream, address: engine.address, timeoutMs: 50, timers })
-  const state = hurried.getState()
-  await until(() => engine.faults.active() === 0)
+  const shortTimeoutClient = engineClient.createEngineClient({ upstream, address: engine.address, timeoutMs: 50, timers })
+  const state = shortTimeoutClient.getState()
+  await waitUntil(() => engine.faults.active() === 0)
   timers.advance(50)
   t.match(await state, { ok: false, failure: { tag: 'timeout', afterMs: 50, verdict: 'mayHaveRun' } })
-  await hurried.close()
+  await shortTimeoutClient.close()
 })
 
-tap.test('a prefix moves from one engine to another', async (t) => {
-  const [from, to] = [await bench(t), await bench(t)]
+tap.test('a cached prefix is exported from one engine and imported by another', async (t) => {
+  const [from, to] = [await createFixture(t), await createFixture(t)]
   const first = await from.call('r1')
   const prefix = await from.client.exportCache(session)
   if (!prefix.ok || !first.ok) throw new Error('nothing to move')
@@ -222,16 +222,16 @@
   t.match(await to.call('r1'), { ok: true, value: { tokens: { cached: first.value.tokens.prompt } } })
 })
 
-tap.test('the batch slows its members and lower priority numbers run first', async (t) => {
-  const { engine, call } = await bench(t, { tokenMs: 1, maxBatch: 1 })
-  const order: string[] = []
-  const run = async (id: string, priority: number): Promise<void> => { await call(id, { priority }); order.push(id) }
+tap.test('with a batch size of 1, requests run one at a time, lower priority numbers first', async (t) => {
+  const { engine, call } = await createFixture(t, { tokenMs: 1, maxBatch: 1 })
+  const completionOrder: string[] = []
+  const run = async (id: string, priority: number): Promise<void> => { await call(id, { priority }); completionOrder.push(id) }
   const first = run('running', 9)
-  await until(() => engine.executions('running') === 1)
-  const rest = [run('late', 5), run('soon', 1)]
-  await until(() => Object.keys(engine.counters().requests).length === 3)
-  await Promise.all([first, ...rest])
-  t.same(order, ['running', 'soon', 'late'])
+  await waitUntil(() => engine.executions('running') === 1)
+  const queued = [run('late', 5), run('soon', 1)]
+  await waitUntil(() => Object.keys(engine.counters().requests).length === 3)
+  await Promise.all([first, ...queued])
+  t.same(completionOrder, ['running', 'soon', 'late'])
 })
 
 const toolStream = [
@@ -241,27 +241,27 @@
   { id: 'chatcmpl-r1', choices: [], usage: { prompt_tokens: 5, completion_tokens: 7 } }
 ]
 
-tap.test('an answer is the same however its bytes are cut', async (t) => {
-  const wire = Buffer.from(': comment\r\n\r\n' + [...toolStream, null].map((one) => `data: ${one === null ? '[DONE]' : JSON.stringify({ ...one, note: 'ü😀' })}\r\n\r\n`).join(''))
+tap.test('the assembled answer does not depend on chunk boundaries', async (t) => {
+  const wireBytes = Buffer.from(': comment\r\n\r\n' + [...toolStream, null].map((one) => `data: ${one === null ? '[DONE]' : JSON.stringify({ ...one, note: 'ü😀' })}\r\n\r\n`).join(''))
   const expected = {
     message: { role: 'assistant', content: null, reasoning: 'twelve kits', tool_calls: [{ id: 'c1', type: 'function', function: { name: 'print_order', arguments: '{"kits":12}' } }] },
     finishReason: 'tool_calls',
     tokens: { prompt: 5, cached: 0, generated: 7 }
   }
-  fc.assert(fc.property(fc.array(fc.nat(wire.length), { maxLength: 30 }), (cuts) => {
-    const stream = eventStream.createEventStream()
-    const assembly = assembleAnswer.createAnswerAssembly('r1', () => {})
-    const edges = [0, ...cuts.sort((a, b) => a - b), wire.length]
-    const done = edges.slice(1).map((edge, i) => stream.push(wire.subarray(edges[i], edge)).some(assembly.take))
-    const result = assembly.result()
-    return done.includes(true) && result.type === 'whole' && JSON.stringify(sorted(result.answer)) === JSON.stringify(sorted(expected))
+  fc.assert(fc.property(fc.array(fc.nat(wireBytes.length), { maxLength: 30 }), (cuts) => {
+    const streamParser = eventStream.createEventStreamParser()
+    const assembler = assembleAnswer.createAnswerAssembler('r1', () => {})
+    const boundaries = [0, ...cuts.sort((a, b) => a - b), wireBytes.length]
+    const done = boundaries.slice(1).map((boundary, i) => streamParser.push(wireBytes.subarray(boundaries[i], boundary)).some(assembler.addEvent))
+    const result = assembler.getResult()
+    return done.includes(true) && result.type === 'whole' && JSON.stringify(sortMembers(result.answer)) === JSON.stringify(sortMembers(expected))
   }), { seed: 1, numRuns: 300 })
   t.pass()
 })
 
-/** The same value with the members of objects in order of name. */
-function sorted (value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(sorted)
+/** Sorts the members of all objects in a value by name. */
+function sortMembers (value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(sortMembers)
   if (typeof value !== 'object' || value === null) return value
-  return Object.fromEntries(Object.entries(value).sort(([a], [b]) => a < b ? -1 : 1).map(([name, member]) => [name, sorted(member)]))
+  return Object.fromEntries(Object.entries(value).sort(([a], [b]) => a < b ? -1 : 1).map(([name, member]) => [name, sortMembers(member)]))
 }
--- a/packages/peers/engine-client/src/engine-client.ts
+++ b/packages/peers/engine-client/src/engine-client.ts
@@ -1,24 +1,24 @@
-/** What the system asks of a model engine. */
+/** Interface of the client of a model engine. */
 import type * as types from '@eelgrasswind/types'
 import type * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 
-/** One generation. */
+/** A request for one generation. */
 export interface EngineRequest {
-  /** Sent as the request id; the engine's answer must carry it back. */
+  /** Sent as `x-request-id`. An answer that does not return it is rejected. */
   readonly requestId: string
   readonly model: types.ModelId
   readonly messages: readonly types.ChatMessage[]
   readonly maxTokens: number
-  /** Further members of the chat-completions body, passed on as they are. */
+  /** Additional fields of the chat completions body, sent unchanged. */
   readonly options: Readonly<Record<string, unknown>>
-  /** Lower runs first. */
+  /** Lower numbers run first. */
   readonly priority: number
-  /** Whose prefix the engine caches. */
+  /** Program whose prompt prefix the engine caches. */
   readonly session: types.ProgramId
 }
 
-/** The whole answer of an engine, checked for its request id and its closing marker. */
+/** A complete answer of an engine; its request id and end marker have been checked. */
 export interface EngineAnswer {
   readonly message: types.ChatMessage
   readonly finishReason: string
@@ -27,32 +27,34 @@
 
 export interface CallOptions {
   readonly signal: AbortSignal
+  /** Called with each piece of the answer's text as it arrives. */
   readonly onDelta: (text: string) => void
+  /** W3C trace context, sent as the header of this name. */
   readonly traceparent?: string
 }
 
-/** A prefix that the engine keeps pinned for a session. */
+/** A session whose prefix is pinned in the engine's cache. */
 export interface HeldSession {
   readonly session: types.ProgramId
   readonly tokens: number
 }
 
-/** What an order asks of an engine; each carries a fencing number. */
+/** A command that changes the state of an engine, sent with a fencing token. */
 export type EngineOrder =
   | { readonly type: 'loadModel', readonly model: types.ModelId, readonly version: string }
   | { readonly type: 'loadAdapter', readonly model: types.ModelId, readonly adapter: string }
   | { readonly type: 'setRole', readonly role: 'prefill' | 'decode' | 'both' }
 
-/** What an engine says is in force on it. */
+/** State that an engine reports. */
 export interface EngineState {
   readonly models: readonly { readonly model: types.ModelId, readonly version: string }[]
   readonly adapters: readonly string[]
   readonly role: string
-  /** Highest fencing number that it has taken, 0 where it keeps none. */
+  /** Highest fencing token that the engine has accepted; 0 if it does not check fencing tokens. */
   readonly fencing: number
 }
 
-/** One change of an engine's prefix cache; events come late and with gaps in `seq`. */
+/** A change of an engine's prefix cache. Events are delayed, and `seq` has gaps where events were lost. */
 export interface CacheEvent {
   readonly seq: number
   readonly type: 'stored' | 'evicted'
@@ -61,28 +63,32 @@
 }
 
 /**
- * Failures: `upstreamUnavailable` (notRun: refused or no connection), `upstreamFailed`, `answerBroken`
- * (cut short, or another request's id), `timeout`, `cancelled`.
+ * Client of one model engine. Failures: `upstreamUnavailable` (refused or no connection, verdict `notRun`),
+ * `upstreamFailed`, `answerBroken` (truncated, invalid, or with another request's id), `timeout`, `cancelled`.
  */
 export interface EngineClient {
   complete: (req: EngineRequest, options: CallOptions) => Promise<errors.Result<EngineAnswer>>
   getLoad: () => Promise<errors.Result<types.UpstreamLoad>>
+  /** Pins the cached prefix of a session. */
   hold: (session: types.ProgramId) => Promise<errors.Result<void>>
+  /** Unpins and drops the cached prefix of a session. */
   release: (session: types.ProgramId) => Promise<errors.Result<void>>
   listHeldSessions: () => Promise<errors.Result<readonly HeldSession[]>>
+  /** Reads the cache events from a sequence number on. */
   readCacheEvents: (fromSeq: number) => Promise<errors.Result<readonly CacheEvent[]>>
-  sendOrder: (order: EngineOrder, fencing: number) => Promise<errors.Result<void>>
+  /** Sends a command. An engine that checks fencing tokens rejects one lower than the highest that it has accepted. */
+  sendOrder: (order: EngineOrder, fencingToken: number) => Promise<errors.Result<void>>
   getState: () => Promise<errors.Result<EngineState>>
   close: () => Promise<void>
 }
 
-/** A message of a cached prefix, named by the digest of all up to it. */
+/** A message of a cached prefix, identified by the digest of all messages up to and including it. */
 export interface CacheLink {
   readonly digest: string
   readonly tokens: number
 }
 
-/** What one engine gives another to spare it the computing of a prefix. */
+/** A cached prefix as transferred between engines, so that the receiver does not compute it again. */
 export interface CacheExport {
   readonly session: types.ProgramId
   readonly chain: readonly CacheLink[]
@@ -94,13 +100,15 @@
   importCache: (prefix: CacheExport) => Promise<errors.Result<void>>
 }
 
+/** Settings of an engine client. */
 export interface EngineSettings {
   readonly upstream: types.UpstreamId
+  /** Base URL, as `http://ip:port`. */
   readonly address: string
-  /** For short requests other than generations, in milliseconds. */
+  /** Time limit of control requests, in ms. Generations are limited by the signal of the call only. */
   readonly timeoutMs: number
-  /** Most bytes of an answer, its framing included. */
+  /** Maximum size of an answer, including its event framing, in bytes. */
   readonly maxAnswerBytes?: number
-  /** The process clock where left out. */
+  /** Defaults to real timers. */
   readonly timers?: timerService.TimerService
 }
--- a/packages/peers/engine-client/src/event-stream.ts
+++ b/packages/peers/engine-client/src/event-stream.ts
@@ -1,33 +1,33 @@
-/** Splits server-sent events into the texts of their data fields. */
+/** Incremental parser of server-sent events that yields the data of each event. */
 import * as stringDecoder from 'node:string_decoder'
 
-/** Takes the bytes of a stream in any pieces; gives each event's data once it is complete. */
-export interface EventStream {
+/** Accepts a stream in chunks of any size and returns the data of the events that each chunk completes. */
+export interface EventStreamParser {
   push: (chunk: Buffer) => readonly string[]
 }
 
-/** The text of a data line; undefined for comments and other fields. */
-function dataOf (line: string): string | undefined {
+/** Returns the value of a data line; undefined for comments and other fields. */
+function parseDataLine (line: string): string | undefined {
   if (!line.startsWith('data:')) return undefined
   return line.startsWith(' ', 5) ? line.slice(6) : line.slice(5)
 }
 
-export function createEventStream (): EventStream {
+export function createEventStreamParser (): EventStreamParser {
   const decoder = new stringDecoder.StringDecoder('utf8')
-  let rest = ''
-  let data: string[] = []
+  let partialLine = ''
+  let dataLines: string[] = []
 
   function endEvent (events: string[]): void {
-    if (data.length > 0) events.push(data.join('\n'))
-    data = []
+    if (dataLines.length > 0) events.push(dataLines.join('\n'))
+    dataLines = []
   }
 
   function push (chunk: Buffer): readonly string[] {
     const events: string[] = []
-    const lines = (rest + decoder.write(chunk)).split('\n')
-    rest = lines.pop() ?? ''
-    for (const raw of lines) {
-      const line = raw.endsWith('\r') ? raw.slice(0, -1) : raw
+    const lines = (partialLine + decoder.write(chunk)).split('\n')
+    partialLine = lines.pop() ?? ''
+    for (const rawLine of lines) {
+      const line = rawLine.endsWith('\r') ? rawLine.slice(0, -1) : rawLine
       if (line === '') endEvent(events)
       else addLine(line)
     }
@@ -35,8 +35,8 @@
   }
 
   function addLine (line: string): void {
-    const text = dataOf(line)
-    if (text !== undefined) data.push(text)
+    const text = parseDataLine(line)
+    if (text !== undefined) dataLines.push(text)
   }
 
   return { push }
