--- a/packages/peers/service-client/src/create-service-client.ts
+++ b/packages/peers/service-client/src/create-service-client.ts
@@ -1,10 +1,11 @@
-/** The service client over HTTP. */
+/** Service client over HTTP. */
 import * as undici from 'undici'
 import * as errors from '@eelgrasswind/errors'
 import type * as serviceClient from './service-client.js'
 
 const maxConnections = 256
 
+/** Parses a JSON body, null if it is empty; undefined if it is not JSON. */
 function parseBody (body: Buffer): { readonly value: unknown } | undefined {
   if (body.length === 0) return { value: null }
   try {
@@ -14,23 +15,23 @@
   }
 }
 
-function headersOf (req: serviceClient.ServiceRequest, options: serviceClient.CallOptions): string[] {
+function buildHeaders (req: serviceClient.ServiceRequest, options: serviceClient.CallOptions): string[] {
   const headers = ['content-type', 'application/json', 'x-request-id', req.requestId]
   if (options.traceparent !== undefined) headers.push('traceparent', options.traceparent)
   return headers
 }
 
-function answerOf (end: errors.ExchangeOutcome): errors.Result<serviceClient.ServiceAnswer> {
-  if (end.type !== 'answered') return errors.fail(errors.toUpstreamFailure(end))
-  const { status } = end
-  if (errors.isRefusal(status)) return errors.fail(errors.toUpstreamRefusal(status, end.headers))
+function toResult (outcome: errors.ExchangeOutcome): errors.Result<serviceClient.ServiceAnswer> {
+  if (outcome.type !== 'answered') return errors.fail(errors.toUpstreamFailure(outcome))
+  const { status } = outcome
+  if (errors.isRefusal(status)) return errors.fail(errors.toUpstreamRefusal(status, outcome.headers))
   if (status >= 500) return errors.fail({ tag: 'upstreamFailed', verdict: 'mayHaveRun', message: `the service answered ${status}`, status })
-  const body = parseBody(end.body)
-  if (body === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the answer is not JSON', detail: 'invalid' })
+  const body = parseBody(outcome.body)
+  if (body === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the service\'s answer is not JSON', detail: 'invalid' })
   return errors.ok({ status, body: body.value })
 }
 
-/** Connects on the first call and keeps connections for the next ones. Never sends a request twice. */
+/** Creates a service client. It connects on the first call, reuses connections, and never sends a request twice. */
 export function createServiceClient (settings: serviceClient.ServiceSettings): serviceClient.ServiceClient {
   const pool = new undici.Pool(settings.address, { ...errors.poolOptions, connections: maxConnections })
 
@@ -38,10 +39,10 @@
     const { requestId } = req
     const path = req.path.startsWith('/') ? req.path : `/${req.path}`
     const body = Buffer.from(JSON.stringify(req.body ?? null))
-    const end = await errors.runExchange({ requestId, maxBytes: settings.maxAnswerBytes, signal: options.signal }, (handler) => {
-      pool.dispatch({ path, method: 'POST', headers: headersOf(req, options), body }, handler)
+    const outcome = await errors.runExchange({ requestId, maxBytes: settings.maxAnswerBytes, signal: options.signal }, (handler) => {
+      pool.dispatch({ path, method: 'POST', headers: buildHeaders(req, options), body }, handler)
     })
-    return answerOf(end)
+    return toResult(outcome)
   }
 
   return { call, close: () => pool.close() }
--- a/packages/peers/service-client/src/service-client.test.ts
+++ b/packages/peers/service-client/src/service-client.test.ts
@@ -12,32 +12,32 @@
 
 const upstream = 'orders-1' as types.UpstreamId
 const maxAnswerBytes = 4096
-const never = new AbortController().signal
+const neverAborted = new AbortController().signal
 
-interface Bench {
+interface Fixture {
   readonly service: standIns.ServiceStandIn
   readonly client: serviceClient.ServiceClient
   call: (requestId: string, signal?: AbortSignal) => Promise<errors.Result<serviceClient.ServiceAnswer>>
 }
 
-async function bench (t: TestScope): Promise<Bench> {
+async function createFixture (t: TestScope): Promise<Fixture> {
   const service = await standIns.createServiceStandIn({ port: 0 })
   const client = serviceClient.createServiceClient({ upstream, address: service.address, maxAnswerBytes })
   t.teardown(async () => { await service.close(); await client.close() })
-  const call: Bench['call'] = (requestId, signal = never) => client.call({ requestId, path: 'orders', body: { of: requestId } }, { signal })
+  const call: Fixture['call'] = (requestId, signal = neverAborted) => client.call({ requestId, path: 'orders', body: { of: requestId } }, { signal })
   return { service, client, call }
 }
 
-async function until (check: () => boolean): Promise<void> {
+async function waitUntil (check: () => boolean): Promise<void> {
   while (!check()) await new Promise((resolve) => { setTimeout(resolve, 2) })
 }
 
-function verdictOf (result: errors.Result<unknown>): string {
+function getVerdict (result: errors.Result<unknown>): string {
   return result.ok ? 'ok' : result.failure.verdict
 }
 
-tap.test('an answer is the one to its own request', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('each concurrent call gets the answer to its own request', async (t) => {
+  const { service, call } = await createFixture(t)
   const answers = await Promise.all(Array.from({ length: 50 }, (_, i) => call(`r${i}`)))
   answers.forEach((answer, i) => t.match(answer, { ok: true, value: { status: 200, body: { path: 'orders', echo: { of: `r${i}` } } } }))
   t.equal(service.executions('r7'), 1)
@@ -66,63 +66,63 @@
 ]
 
 for (const { fault, expected, executions } of cases) {
-  tap.test(`${JSON.stringify(fault)} gives its verdict`, async (t) => {
-    const { service, call } = await bench(t)
+  tap.test(`${JSON.stringify(fault)} maps to its failure and verdict`, async (t) => {
+    const { service, call } = await createFixture(t)
     await call('before')
     service.faults.set(fault, { times: 1 })
-    const asker = new AbortController()
-    const struck = call('struck', asker.signal)
+    const controller = new AbortController()
+    const faultedCall = call('struck', controller.signal)
     if (fault.type === 'hang' || fault.type === 'delay') {
-      await until(() => service.faults.active() === 0)
-      asker.abort(new DOMException('too late', 'TimeoutError'))
+      await waitUntil(() => service.faults.active() === 0)
+      controller.abort(new DOMException('too late', 'TimeoutError'))
     }
-    t.match(await struck, { ok: false, failure: expected })
+    t.match(await faultedCall, { ok: false, failure: expected })
     t.equal(service.executions('struck'), executions)
     t.match(await call('after'), { ok: true, value: { body: { echo: { of: 'after' } } } })
   })
 }
 
-tap.test('a status below 500 is an answer', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('a status below 500 is an answer, not a failure', async (t) => {
+  const { service, call } = await createFixture(t)
   service.faults.set({ type: 'error', run: true, status: 409 }, { times: 1 })
   t.match(await call('r1'), { ok: true, value: { status: 409, body: { error: {} } } })
 })
 
-tap.test('an answer that comes twice is not taken for the next one', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('a duplicate answer is not taken for the answer to the next request', async (t) => {
+  const { service, call } = await createFixture(t)
   service.faults.set({ type: 'duplicate' })
-  const seen = []
-  for (let i = 0; i < 20; i += 1) seen.push({ id: `r${i}`, result: await call(`r${i}`) })
-  const answered = seen.filter((one) => one.result.ok)
+  const calls = []
+  for (let i = 0; i < 20; i += 1) calls.push({ id: `r${i}`, result: await call(`r${i}`) })
+  const answered = calls.filter((call) => call.result.ok)
   for (const { id, result } of answered) t.match(result, { value: { body: { echo: { of: id } } } })
-  for (const { id, result } of seen) if (verdictOf(result) === 'notRun') t.equal(service.executions(id), 0)
+  for (const { id, result } of calls) if (getVerdict(result) === 'notRun') t.equal(service.executions(id), 0)
   t.ok(answered.length > 0)
 })
 
-tap.test('no connection means not run', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('a call without a connection has not run', async (t) => {
+  const { service, call } = await createFixture(t)
   await service.close()
   t.match(await call('r1'), { ok: false, failure: { tag: 'upstreamUnavailable', verdict: 'notRun' } })
 })
 
-tap.test('a call that is given up before it is sent has not run', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('a call that is cancelled or times out before it is sent has not run', async (t) => {
+  const { service, call } = await createFixture(t)
   t.match(await call('early', AbortSignal.abort()), { ok: false, failure: { tag: 'cancelled', verdict: 'notRun' } })
   service.faults.set({ type: 'hang', run: true })
-  const busy = Array.from({ length: 256 }, (_, i) => call(`busy${i}`))
+  const blockingCalls = Array.from({ length: 256 }, (_, i) => call(`busy${i}`))
   t.match(await call('waiting', AbortSignal.timeout(300)), { ok: false, failure: { tag: 'timeout', verdict: 'notRun' } })
   service.faults.clear()
-  t.ok((await Promise.all(busy)).every((result) => result.ok))
+  t.ok((await Promise.all(blockingCalls)).every((result) => result.ok))
   for (let i = 0; i < 20; i += 1) await call(`after${i}`)
   t.same(service.counters().requests['waiting'], undefined)
 })
 
-const anyFault = fc.constantFrom<standIns.ServiceFault | null>(null, ...cases.map((one) => one.fault), { type: 'duplicate' })
+const faultArbitrary = fc.constantFrom<standIns.ServiceFault | null>(null, ...cases.map((faultCase) => faultCase.fault), { type: 'duplicate' })
 
-tap.test('any faults, in any order, side by side: verdicts hold and nothing runs twice', async (t) => {
-  const { service, call } = await bench(t)
+tap.test('with random concurrent faults, verdicts are correct and no request runs twice', async (t) => {
+  const { service, call } = await createFixture(t)
   let round = 0
-  await fc.assert(fc.asyncProperty(fc.array(anyFault, { minLength: 1, maxLength: 8 }), async (faults) => {
+  await fc.assert(fc.asyncProperty(fc.array(faultArbitrary, { minLength: 1, maxLength: 8 }), async (faults) => {
     round += 1
     for (const fault of faults) if (fault !== null) service.faults.set(fault, { times: 1 })
     const results = await Promise.all(faults.map(async (_, i) => {
@@ -140,22 +140,22 @@
 })
 
 interface Cut {
-  /** Bytes of the answer that are sent. */
+  /** Number of bytes of the answer that are sent before the connection is cut. */
   readonly bytes: number
   readonly then: 'end' | 'reset' | 'close'
 }
 
-/** A server that answers each request and then cuts the connection as told; counts the requests that it reads. */
-async function cuttingServer (t: TestScope, cutOf: () => Cut): Promise<{ address: string, seen: Map<string, number> }> {
-  const seen = new Map<string, number>()
+/** Starts a server that answers each request in full or in part and then cuts the connection; counts received requests by request id. */
+async function startCuttingServer (t: TestScope, getCut: () => Cut): Promise<{ address: string, requestCountById: Map<string, number> }> {
+  const requestCountById = new Map<string, number>()
   const server = net.createServer((socket) => {
     socket.on('error', () => {})
     socket.on('data', (data) => {
       const id = /x-request-id: (\S+)/.exec(data.toString())?.[1] ?? 'none'
-      seen.set(id, (seen.get(id) ?? 0) + 1)
-      const { bytes, then } = cutOf()
-      const whole = `HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-request-id: ${id}\r\n\r\n{}`
-      socket.write(whole.slice(0, bytes), () => {
+      requestCountById.set(id, (requestCountById.get(id) ?? 0) + 1)
+      const { bytes, then } = getCut()
+      const completeAnswer = `HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-request-id: ${id}\r\n\r\n{}`
+      socket.write(completeAnswer.slice(0, bytes), () => {
         if (then === 'end') socket.end()
         else if (then === 'reset') socket.resetAndDestroy()
         else socket.destroy()
@@ -164,21 +164,21 @@
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => server.close())
-  return { address: `http://127.0.0.1:${(server.address() as net.AddressInfo).port}`, seen }
+  return { address: `http://127.0.0.1:${(server.address() as net.AddressInfo).port}`, requestCountById }
 }
 
-tap.test('a connection that is cut anywhere never makes a request go out twice', async (t) => {
+tap.test('a request is never sent twice, wherever its connection is cut', async (t) => {
   let cut: Cut = { bytes: 0, then: 'end' }
-  const { address, seen } = await cuttingServer(t, () => cut)
+  const { address, requestCountById } = await startCuttingServer(t, () => cut)
   const client = serviceClient.createServiceClient({ upstream, address, maxAnswerBytes })
   t.teardown(() => client.close())
-  let calls = 0
+  let callCount = 0
   await fc.assert(fc.asyncProperty(fc.record({ bytes: fc.nat(90), then: fc.constantFrom('end' as const, 'reset' as const, 'close' as const) }), async (next) => {
     cut = next
-    const ids = [0, 1, 2].map(() => `c${calls++}`)
-    const results = await Promise.all(ids.map((requestId) => client.call({ requestId, path: 'orders', body: {} }, { signal: never })))
-    return ids.every((id, i) => (seen.get(id) ?? 0) <= 1 && (verdictOf(results[i]!) !== 'notRun' || !seen.has(id)))
+    const ids = [0, 1, 2].map(() => `c${callCount++}`)
+    const results = await Promise.all(ids.map((requestId) => client.call({ requestId, path: 'orders', body: {} }, { signal: neverAborted })))
+    return ids.every((id, i) => (requestCountById.get(id) ?? 0) <= 1 && (getVerdict(results[i]!) !== 'notRun' || !requestCountById.has(id)))
   }), { seed: 1, numRuns: 200 })
-  t.ok(calls >= 600)
-  t.equal(seen.get('none'), undefined)
+  t.ok(callCount >= 600)
+  t.equal(requestCountById.get('none'), undefined)
 })
