--- a/packages/peers/log-client/src/log-answers.ts
+++ b/packages/peers/log-client/src/log-answers.ts
@@ -1,13 +1,13 @@
-/** Checks the log's answers before anyone believes them. */
+/** Parses and validates the log's answers. */
 import type * as types from '@eelgrasswind/types'
 import type * as logClient from './log-client.js'
 
-type Members = Readonly<Record<string, unknown>>
+type JsonObject = Readonly<Record<string, unknown>>
 
-function parseMembers (body: Buffer): Members | undefined {
+function parseObject (body: Buffer): JsonObject | undefined {
   try {
     const value: unknown = JSON.parse(body.toString('utf8'))
-    return typeof value === 'object' && value !== null ? value as Members : undefined
+    return typeof value === 'object' && value !== null ? value as JsonObject : undefined
   } catch {
     return undefined
   }
@@ -17,32 +17,32 @@
   return Number.isSafeInteger(value) && (value as number) >= 0
 }
 
-function isTime (value: unknown): value is types.EpochMs {
+function isTimestamp (value: unknown): value is types.EpochMs {
   return typeof value === 'number' && Number.isFinite(value)
 }
 
 function isRecord (value: unknown, offset: number): value is logClient.LogRecord {
   if (typeof value !== 'object' || value === null) return false
-  const record = value as Members
-  return record['offset'] === offset && isTime(record['at']) && typeof record['data'] === 'string'
+  const record = value as JsonObject
+  return record['offset'] === offset && isTimestamp(record['at']) && typeof record['data'] === 'string'
 }
 
-/** Where an append landed, or undefined where the answer does not say. */
+/** Parses the answer to an append; undefined if it is invalid. */
 export function parseAppended (body: Buffer): logClient.AppendResult | undefined {
-  const members = parseMembers(body)
-  if (members === undefined) return undefined
-  const { offset, at } = members
-  return isOffset(offset) && isTime(at) ? { offset, at } : undefined
+  const answer = parseObject(body)
+  if (answer === undefined) return undefined
+  const { offset, at } = answer
+  return isOffset(offset) && isTimestamp(at) ? { offset, at } : undefined
 }
 
-/** A page whose records follow one another from `from`, or from the oldest one kept; undefined where they do not. */
+/** Parses a page. Undefined if it is invalid or its offsets are not contiguous from `from`, or from the oldest stored record if that is later. */
 export function parsePage (body: Buffer, from: types.LogOffset): logClient.LogPage | undefined {
-  const members = parseMembers(body)
-  if (members === undefined) return undefined
-  const { first, next, records } = members
+  const answer = parseObject(body)
+  if (answer === undefined) return undefined
+  const { first, next, records } = answer
   if (!isOffset(first) || !isOffset(next) || !Array.isArray(records)) return undefined
-  const start = Math.max(from, first)
-  const fits = records.length === 0 || start + records.length <= next
-  const inOrder = records.every((record, index) => isRecord(record, start + index))
-  return fits && inOrder ? { first, next, records: records as logClient.LogRecord[] } : undefined
+  const startOffset = Math.max(from, first)
+  const isWithinEnd = records.length === 0 || startOffset + records.length <= next
+  const isContiguous = records.every((record, index) => isRecord(record, startOffset + index))
+  return isWithinEnd && isContiguous ? { first, next, records: records as logClient.LogRecord[] } : undefined
 }
--- a/packages/peers/log-client/src/log-client.ts
+++ b/packages/peers/log-client/src/log-client.ts
@@ -1,52 +1,55 @@
-/** What the system asks of the platform's append-only log service. */
+/** Interface of the client of the platform's append-only log service. */
 import type * as types from '@eelgrasswind/types'
 import type * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 
-/** One record as the log keeps it. */
+/** A record as stored in the log. */
 export interface LogRecord {
   readonly offset: types.LogOffset
-  /** When the log took it, by the log's clock. */
+  /** Time of the append, by the log's clock. */
   readonly at: types.EpochMs
   readonly data: string
 }
 
-/** Records from an offset on, and what the stream still holds. */
+/** Records from an offset on, with the range of offsets that the stream holds. */
 export interface LogPage {
-  /** Offset of the oldest record that is still kept; greater than the offset asked for when records have expired. */
+  /** Offset of the oldest record that is still stored. Greater than the requested offset if records have expired. */
   readonly first: types.LogOffset
-  /** Offset that the next append will get. */
+  /** Offset of the next append. */
   readonly next: types.LogOffset
   readonly records: readonly LogRecord[]
 }
 
-/** Where an append landed. */
+/** Offset and time that the log assigned to an append. */
 export interface AppendResult {
   readonly offset: types.LogOffset
   readonly at: types.EpochMs
 }
 
+/** Options of a read. */
 export interface ReadOptions {
-  /** Most records of a page. */
+  /** Maximum number of records in the page. */
   readonly limit?: number
 }
 
 /**
- * Offsets of a stream are contiguous from 0. A failed append carries its verdict: `notRun` where the log
- * refused it, `mayHaveRun` where the answer was lost or late.
+ * Client of the log service. Offsets of a stream are contiguous from 0. A failed append carries a verdict: `notRun` if the log
+ * refused it or there was no connection, `mayHaveRun` if the answer was lost or late.
  */
 export interface LogClient {
+  /** Appends a record to a stream. */
   append: (stream: types.StreamName, data: string) => Promise<errors.Result<AppendResult>>
-  /** A page may be shorter than the limit; an expired start gives an ordinary page whose `first` says so. */
+  /** Reads a page, which may be shorter than the limit. If records at `from` have expired, the page starts at its `first`. */
   read: (stream: types.StreamName, from: types.LogOffset, options?: ReadOptions) => Promise<errors.Result<LogPage>>
   close: () => Promise<void>
 }
 
+/** Settings of a log client. */
 export interface LogClientSettings {
   /** Address of the log service, as `http://ip:port`. */
   readonly address: string
-  /** After this an answer counts as lost, in milliseconds. */
+  /** Time limit of a request, in ms. */
   readonly timeoutMs: number
-  /** The process clock where left out. */
+  /** Defaults to real timers. */
   readonly timers?: timerService.TimerService
 }
