--- a/packages/peers/host-list-client/src/create-host-list-client.ts
+++ b/packages/peers/host-list-client/src/create-host-list-client.ts
@@ -1,4 +1,4 @@
-/** The host list client over HTTP. */
+/** Host list client over HTTP. */
 import * as crypto from 'node:crypto'
 import * as undici from 'undici'
 import * as errors from '@eelgrasswind/errors'
@@ -19,7 +19,7 @@
     (entry['state'] === 'live' || entry['state'] === 'leaving')
 }
 
-function parseList (body: Buffer): types.HostList | undefined {
+function parseHostList (body: Buffer): types.HostList | undefined {
   try {
     const list = JSON.parse(body.toString('utf8')) as Readonly<Record<string, unknown>> | null
     const version = list?.['version']
@@ -31,27 +31,27 @@
   }
 }
 
-function unavailable (verdict: types.Verdict, message: string, retryAfterMs: number): errors.Failure {
+function createUnavailableFailure (verdict: types.Verdict, message: string, retryAfterMs: number): errors.Failure {
   return { tag: 'peerUnavailable', verdict, message, retryAfterMs }
 }
 
-/** Connects on the first read and keeps the connection for the next one. */
+/** Creates a host list client. It connects on the first read and reuses the connection. */
 export function createHostListClient (settings: hostListClient.HostListSettings): hostListClient.HostListClient {
   const timers = settings.timers ?? timerService.createRealTimers()
   const timeout = { after: timers.after, ms: settings.timeoutMs }
-  const client = new undici.Pool(settings.address, { ...errors.poolOptions, connections: 1 })
+  const pool = new undici.Pool(settings.address, { ...errors.poolOptions, connections: 1 })
 
   async function read (): Promise<errors.Result<types.HostList>> {
     const requestId = crypto.randomUUID()
-    const end = await errors.runExchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
-      client.dispatch({ path: '/v1/hosts', method: 'GET', headers: ['x-request-id', requestId] }, handler)
+    const outcome = await errors.runExchange({ requestId, maxBytes: maxAnswerBytes, timeout }, (handler) => {
+      pool.dispatch({ path: '/v1/hosts', method: 'GET', headers: ['x-request-id', requestId] }, handler)
     })
-    if (end.type !== 'answered') return errors.fail(unavailable(errors.getVerdict(end), errors.describeOutcome(end), errors.defaultRetryAfterMs))
-    if (end.status !== 200) return errors.fail(unavailable('notRun', `the host list answered ${end.status}`, errors.parseRetryAfterMs(end.headers)))
-    const list = parseList(end.body)
-    if (list === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the answer is no host list', detail: 'invalid' })
+    if (outcome.type !== 'answered') return errors.fail(createUnavailableFailure(errors.getVerdict(outcome), errors.describeOutcome(outcome), errors.defaultRetryAfterMs))
+    if (outcome.status !== 200) return errors.fail(createUnavailableFailure('notRun', `the host list answered ${outcome.status}`, errors.parseRetryAfterMs(outcome.headers)))
+    const list = parseHostList(outcome.body)
+    if (list === undefined) return errors.fail({ tag: 'answerBroken', verdict: 'ran', message: 'the answer is not a valid host list', detail: 'invalid' })
     return errors.ok(list)
   }
 
-  return { read, close: () => client.close() }
+  return { read, close: () => pool.close() }
 }
--- a/packages/peers/host-list-client/src/host-list-client.test.ts
+++ b/packages/peers/host-list-client/src/host-list-client.test.ts
@@ -8,7 +8,7 @@
   teardown: (run: () => unknown) => void
 }
 
-const first: types.HostEntry = {
+const firstHost: types.HostEntry = {
   host: 'makati-a-1' as types.HostId,
   role: 'sidecar',
   region: 'ncr' as types.RegionId,
@@ -19,42 +19,42 @@
 
 const timeoutMs = 150
 
-interface Bench {
+interface Fixture {
   readonly list: standIns.HostListStandIn
   readonly client: hostListClient.HostListClient
   readonly timers: timerService.ManualTimers
 }
 
-/** The client's time limit is on manual timers. */
-async function bench (t: TestScope): Promise<Bench> {
+/** Starts a host list stand-in and a client whose time limit runs on manual timers. */
+async function createFixture (t: TestScope): Promise<Fixture> {
   const timers = timerService.createManualTimers()
-  const list = await standIns.createHostListStandIn({ port: 0, hosts: [first] })
+  const list = await standIns.createHostListStandIn({ port: 0, hosts: [firstHost] })
   const client = hostListClient.createHostListClient({ address: list.address, timeoutMs, timers })
   t.teardown(async () => { await list.close(); await client.close() })
   return { list, client, timers }
 }
 
-tap.test('reads the list as it changes', async (t) => {
-  const { list, client } = await bench(t)
-  t.same(await client.read(), { ok: true, value: { version: 1, hosts: [first] } })
-  list.setHost({ ...first, host: 'makati-a-2' as types.HostId })
-  list.leaveHost(first.host)
+tap.test('each read returns the current list', async (t) => {
+  const { list, client } = await createFixture(t)
+  t.same(await client.read(), { ok: true, value: { version: 1, hosts: [firstHost] } })
+  list.setHost({ ...firstHost, host: 'makati-a-2' as types.HostId })
+  list.leaveHost(firstHost.host)
   t.match(await client.read(), { value: { version: 3, hosts: [{ host: 'makati-a-1', state: 'leaving' }, { host: 'makati-a-2', state: 'live' }] } })
-  list.removeHost(first.host)
+  list.removeHost(firstHost.host)
   t.match(await client.read(), { value: { version: 4, hosts: [{ host: 'makati-a-2' }] } })
 })
 
-tap.test('a stalled list is an old one', async (t) => {
-  const { list, client } = await bench(t)
+tap.test('a stalled list service returns a stale list', async (t) => {
+  const { list, client } = await createFixture(t)
   list.stall(true)
-  list.removeHost(first.host)
+  list.removeHost(firstHost.host)
   t.match(await client.read(), { value: { version: 1, hosts: [{ host: 'makati-a-1' }] } })
   list.stall(false)
   t.match(await client.read(), { value: { version: 2, hosts: [] } })
 })
 
-tap.test('a list that does not answer in time is unavailable', async (t) => {
-  const { list, client, timers } = await bench(t)
+tap.test('a read that times out fails as unavailable', async (t) => {
+  const { list, client, timers } = await createFixture(t)
   list.faults.set({ type: 'hang' }, { times: 1 })
   const read = client.read()
   while (list.faults.active() > 0) await new Promise((resolve) => { setTimeout(resolve, 2) })
@@ -62,8 +62,8 @@
   t.match(await read, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun', message: /150 ms/ } })
 })
 
-tap.test('failures are told from an empty list', async (t) => {
-  const { list, client } = await bench(t)
+tap.test('failures differ from an empty list', async (t) => {
+  const { list, client } = await createFixture(t)
   const failures: readonly [standIns.HostListFault, object][] = [
     [{ type: 'empty' }, { ok: true, value: { hosts: [] } }],
     [{ type: 'down', retryAfterMs: 300 }, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun', retryAfterMs: 300 } }],
@@ -74,7 +74,7 @@
     list.faults.set(fault, { times: 1 })
     t.match(await client.read(), expected, fault.type)
   }
-  list.setHost({ ...first, host: 'no id!' as types.HostId })
+  list.setHost({ ...firstHost, host: 'no id!' as types.HostId })
   t.match(await client.read(), { ok: false, failure: { tag: 'answerBroken' } })
   await list.close()
   t.match(await client.read(), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
--- a/packages/peers/host-list-client/src/host-list-client.ts
+++ b/packages/peers/host-list-client/src/host-list-client.ts
@@ -1,19 +1,20 @@
-/** What the system asks of the platform's host list. */
+/** Interface of the client of the platform's host list. */
 import type * as types from '@eelgrasswind/types'
 import type * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 
-/** The list lags and may be empty. Failures: `peerUnavailable`, or `answerBroken` where the answer is no host list. */
+/** Client of the host list. The list may be stale or empty. Failures: `peerUnavailable`, or `answerBroken` if the answer is not a valid host list. */
 export interface HostListClient {
   read: () => Promise<errors.Result<types.HostList>>
   close: () => Promise<void>
 }
 
+/** Settings of a host list client. */
 export interface HostListSettings {
   /** Address of the host list, as `http://ip:port`. */
   readonly address: string
-  /** After this an answer counts as lost, in milliseconds. */
+  /** Time limit of a read, in ms. */
   readonly timeoutMs: number
-  /** The process clock where left out. */
+  /** Defaults to real timers. */
   readonly timers?: timerService.TimerService
 }
