--- a/packages/peers/weight-store-client/src/pacer.ts
+++ b/packages/peers/weight-store-client/src/pacer.ts
@@ -1,14 +1,15 @@
-/** Spaces requests evenly by a rate. */
+/** Spaces requests evenly to keep to a rate. */
 import type * as timerService from '@eelgrasswind/timer-service'
 
+/** Limits requests to a rate, without bursts. */
 export interface Pacer {
-  /** Resolves when the next request may go: true, or false where the signal came first. */
-  next: (signal: AbortSignal) => Promise<boolean>
-  setRate: (perSecond: number) => void
+  /** Resolves to true when the next request may be sent, or to false if the signal aborts first. */
+  waitForSlot: (signal: AbortSignal) => Promise<boolean>
+  setRate: (requestsPerSecond: number) => void
 }
 
-/** Resolves after a delay: true, or false where the signal came first. */
-export function wait (timers: timerService.TimerService, delayMs: number, signal: AbortSignal): Promise<boolean> {
+/** Resolves to true after a delay, or to false if the signal aborts first. */
+export function delay (timers: timerService.TimerService, delayMs: number, signal: AbortSignal): Promise<boolean> {
   if (signal.aborted) return Promise.resolve(false)
   return new Promise((resolve) => {
     const timer = timers.after(delayMs, () => {
@@ -23,16 +24,17 @@
   })
 }
 
-export function createPacer (timers: timerService.TimerService, perSecond: number): Pacer {
-  let intervalMs = 1000 / perSecond
-  let nextAt = timers.monotonic()
+/** Creates a pacer; the first request may be sent at once. */
+export function createPacer (timers: timerService.TimerService, requestsPerSecond: number): Pacer {
+  let intervalMs = 1000 / requestsPerSecond
+  let nextSlotAtMs = timers.monotonic()
 
-  async function next (signal: AbortSignal): Promise<boolean> {
-    const now = timers.monotonic()
-    const at = Math.max(now, nextAt)
-    nextAt = at + intervalMs
-    return at <= now ? !signal.aborted : await wait(timers, at - now, signal)
+  async function waitForSlot (signal: AbortSignal): Promise<boolean> {
+    const nowMs = timers.monotonic()
+    const slotAtMs = Math.max(nowMs, nextSlotAtMs)
+    nextSlotAtMs = slotAtMs + intervalMs
+    return slotAtMs <= nowMs ? !signal.aborted : await delay(timers, slotAtMs - nowMs, signal)
   }
 
-  return { next, setRate: (rate) => { intervalMs = 1000 / rate } }
+  return { waitForSlot, setRate: (requestsPerSecond) => { intervalMs = 1000 / requestsPerSecond } }
 }
--- a/packages/peers/weight-store-client/src/weight-store-client.test.ts
+++ b/packages/peers/weight-store-client/src/weight-store-client.test.ts
@@ -9,7 +9,7 @@
   teardown: (run: () => unknown) => void
 }
 
-interface Bench {
+interface Fixture {
   readonly store: standIns.WeightStoreStandIn
   readonly timers: timerService.ManualTimers
   readonly client: weightStoreClient.WeightStoreClient
@@ -17,35 +17,35 @@
 
 const model = 'agent' as types.ModelId
 const signal = new AbortController().signal
-const bytes = 300_000
+const weightBytes = 300_000
 
-/** The client runs on manual timers, the store on its own rate of them. */
-async function bench (t: TestScope, settings: Partial<weightStoreClient.WeightStoreSettings> = {}, storeRate: number | null = null): Promise<Bench> {
+/** Starts a weight store stand-in and a client on the same manual timers. `storeRate` is the store's rate limit, in requests per second. */
+async function createFixture (t: TestScope, settings: Partial<weightStoreClient.WeightStoreSettings> = {}, storeRate: number | null = null): Promise<Fixture> {
   const timers = timerService.createManualTimers()
-  const store = await standIns.createWeightStoreStandIn({ port: 0, timers, weightBytes: bytes, requestsPerSecond: storeRate })
+  const store = await standIns.createWeightStoreStandIn({ port: 0, timers, weightBytes, requestsPerSecond: storeRate })
   const client = weightStoreClient.createWeightStoreClient({ address: store.address, timers, requestsPerSecond: 10, share: 0.5, timeoutMs: 60_000, maxAttempts: 3, random: () => 0, ...settings })
   t.teardown(async () => { await store.close(); await client.close() })
   return { store, timers, client }
 }
 
-async function until (check: () => boolean): Promise<void> {
+async function waitUntil (check: () => boolean): Promise<void> {
   while (!check()) await new Promise((resolve) => { setTimeout(resolve, 2) })
 }
 
-/** Whether the client waits for its next attempt: sooner due than the time limit of an attempt. */
+/** Whether the client is waiting for its next attempt: then a timer is due sooner than the time limit of an attempt, 60 s. */
 function isWaiting (timers: timerService.ManualTimers): boolean {
   return (timers.getNextDueMs() ?? Infinity) < timers.now() + 10_000
 }
 
-tap.test('fetches the bytes and checks their digest', async (t) => {
-  const { client } = await bench(t)
+tap.test('fetches the weights and verifies their digest', async (t) => {
+  const { client } = await createFixture(t)
   const hash = crypto.createHash('sha256')
   const result = await client.fetch(model, 'v1', { signal, onChunk: (chunk) => { hash.update(chunk) } })
-  t.match(result, { ok: true, value: { bytes, sha256: hash.digest('hex') } })
+  t.match(result, { ok: true, value: { bytes: weightBytes, sha256: hash.digest('hex') } })
 })
 
-tap.test('broken weights are not taken', async (t) => {
-  const { store, client, timers } = await bench(t, { share: 1, requestsPerSecond: 1e9 })
+tap.test('truncated or corrupt weights are rejected', async (t) => {
+  const { store, client, timers } = await createFixture(t, { share: 1, requestsPerSecond: 1e9 })
   const failures: readonly [standIns.WeightStoreFault, object][] = [
     [{ type: 'truncate' }, { tag: 'answerBroken', verdict: 'ran', detail: 'lost' }],
     [{ type: 'corrupt' }, { tag: 'answerBroken', verdict: 'ran', detail: 'digest' }],
@@ -58,67 +58,67 @@
   }
 })
 
-tap.test('a refusal is waited out as the store says, longer each time', async (t) => {
-  const { store, client, timers } = await bench(t, { share: 1, requestsPerSecond: 1e9 })
+tap.test('a refused fetch is retried after the retry-after time, doubled after each refusal', async (t) => {
+  const { store, client, timers } = await createFixture(t, { share: 1, requestsPerSecond: 1e9 })
   store.faults.set({ type: 'refuse', retryAfterMs: 400 })
-  let ended = false
-  const fetched = client.fetch(model, 'v1', { signal }).finally(() => { ended = true })
-  const waits = []
+  let isEnded = false
+  const fetched = client.fetch(model, 'v1', { signal }).finally(() => { isEnded = true })
+  const waitsMs = []
   for (const refusals of [1, 2]) {
-    await until(() => store.counters().refused === refusals && isWaiting(timers))
-    waits.push(timers.getNextDueMs()! - timers.now())
-    timers.advance(waits.at(-1)! - 1)
+    await waitUntil(() => store.counters().refused === refusals && isWaiting(timers))
+    waitsMs.push(timers.getNextDueMs()! - timers.now())
+    timers.advance(waitsMs.at(-1)! - 1)
     await new Promise((resolve) => { setImmediate(resolve) })
-    t.equal(store.counters().refused, refusals, 'not before')
+    t.equal(store.counters().refused, refusals, 'no retry before the delay has passed')
     timers.advance(1)
   }
-  await until(() => ended)
+  await waitUntil(() => isEnded)
   t.match(await fetched, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun', retryAfterMs: 400 } })
-  t.same(waits, [400, 800])
+  t.same(waitsMs, [400, 800])
   t.same(store.counters(), { served: 0, refused: 3 })
 })
 
-tap.test('requests keep to the share of the rate', async (t) => {
-  const { store, client, timers } = await bench(t, { share: 0.5, requestsPerSecond: 10 })
+tap.test('requests keep to the client\'s share of the rate', async (t) => {
+  const { store, client, timers } = await createFixture(t, { share: 0.5, requestsPerSecond: 10 })
   const fetches = [0, 1, 2].map(() => client.fetch(model, 'v1', { signal }))
-  await until(() => store.counters().served === 1)
+  await waitUntil(() => store.counters().served === 1)
   timers.advance(199)
   await new Promise((resolve) => { setTimeout(resolve, 20) })
   t.equal(store.counters().served, 1)
   timers.advance(1)
-  await until(() => store.counters().served === 2)
+  await waitUntil(() => store.counters().served === 2)
   timers.advance(200)
-  t.ok((await Promise.all(fetches)).every((one) => one.ok))
+  t.ok((await Promise.all(fetches)).every((result) => result.ok))
 })
 
-tap.test('a fetch can be given up while it waits', async (t) => {
-  const { store, client, timers } = await bench(t)
-  const asker = new AbortController()
+tap.test('a fetch can be cancelled while it waits for its next attempt', async (t) => {
+  const { store, client, timers } = await createFixture(t)
+  const controller = new AbortController()
   store.faults.set({ type: 'refuse' })
-  const fetched = client.fetch(model, 'v1', { signal: asker.signal })
-  await until(() => store.counters().refused === 1 && isWaiting(timers))
-  asker.abort()
+  const fetched = client.fetch(model, 'v1', { signal: controller.signal })
+  await waitUntil(() => store.counters().refused === 1 && isWaiting(timers))
+  controller.abort()
   t.match(await fetched, { ok: false, failure: { tag: 'cancelled', verdict: 'notRun' } })
   t.equal(store.counters().refused, 1)
 })
 
-tap.test('two shares of the rate all get through', async (t) => {
-  const { store, client, timers } = await bench(t, {}, 10)
-  const other = weightStoreClient.createWeightStoreClient({ address: store.address, timers, requestsPerSecond: 10, share: 0.5, timeoutMs: 60_000, maxAttempts: 3, random: () => 0 })
-  t.teardown(() => other.close())
-  const ended: boolean[] = []
-  for (const one of [client, other, client, other, client, other]) {
-    one.fetch(model, 'v1', { signal }).then((result) => { ended.push(result.ok) }, t.threw)
+tap.test('two clients with half of the rate each succeed with all fetches', async (t) => {
+  const { store, client, timers } = await createFixture(t, {}, 10)
+  const otherClient = weightStoreClient.createWeightStoreClient({ address: store.address, timers, requestsPerSecond: 10, share: 0.5, timeoutMs: 60_000, maxAttempts: 3, random: () => 0 })
+  t.teardown(() => otherClient.close())
+  const successes: boolean[] = []
+  for (const nextClient of [client, otherClient, client, otherClient, client, otherClient]) {
+    nextClient.fetch(model, 'v1', { signal }).then((result) => { successes.push(result.ok) }, t.threw)
   }
-  await until(() => {
+  await waitUntil(() => {
     timers.advance(5)
-    return ended.length === 6
+    return successes.length === 6
   })
-  t.same(ended, Array.from({ length: 6 }, () => true))
+  t.same(successes, Array.from({ length: 6 }, () => true))
 })
 
-tap.test('no connection means not run', async (t) => {
-  const { store, client } = await bench(t, { maxAttempts: 1 })
+tap.test('a fetch without a connection has not run', async (t) => {
+  const { store, client } = await createFixture(t, { maxAttempts: 1 })
   await store.close()
   t.match(await client.fetch(model, 'v1', { signal }), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
 })
--- a/packages/peers/weight-store-client/src/weight-store-client.ts
+++ b/packages/peers/weight-store-client/src/weight-store-client.ts
@@ -1,45 +1,48 @@
-/** What the system asks of the platform's rate-limited weight store. */
+/** Interface of the client of the platform's rate-limited weight store. */
 import type * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** One version of a model's weights, fetched whole and checked against its digest. */
+/** Size and digest of one version of a model's weights, fetched completely and verified. */
 export interface Weights {
   readonly bytes: number
   /** SHA-256 of the bytes, in hex. */
   readonly sha256: string
 }
 
+/** Options of a fetch. */
 export interface FetchOptions {
   readonly signal: AbortSignal
-  /** Gets the bytes in order; of a fetch that fails they are to be thrown away. */
+  /** Called with each chunk in order. The receiver must discard the chunks of a fetch that fails. */
   readonly onChunk?: (chunk: Buffer) => void
 }
 
 /**
- * Requests are spaced by this client's share of the store's rate, and come back after a refusal no sooner than
- * the store says. Failures: `peerUnavailable` (refused or no connection, notRun), `upstreamFailed`,
- * `answerBroken` (cut short or another digest), `timeout`, `cancelled`.
+ * Client of the weight store. It paces requests to its share of the store's rate, and retries a refused request no sooner
+ * than the store's retry-after time. Failures: `peerUnavailable` (refused or no connection, verdict `notRun`),
+ * `upstreamFailed`, `answerBroken` (truncated, or a different digest), `timeout`, `cancelled`.
  */
 export interface WeightStoreClient {
+  /** Fetches one version of a model's weights and verifies its digest. */
   fetch: (model: types.ModelId, version: string, options: FetchOptions) => Promise<errors.Result<Weights>>
-  /** Changes this client's share of the rate, from above 0 to 1. */
+  /** Changes this client's share of the rate; above 0 and at most 1. */
   setShare: (share: number) => void
   close: () => Promise<void>
 }
 
+/** Settings of a weight store client. */
 export interface WeightStoreSettings {
   /** Address of the weight store, as `http://ip:port`. */
   readonly address: string
   readonly timers: timerService.TimerService
-  /** Requests a second that the store takes from all its clients together. */
+  /** Rate limit of the store over all its clients, in requests per second. */
   readonly requestsPerSecond: number
-  /** This client's share of that rate, from above 0 to 1. */
+  /** This client's share of that rate; above 0 and at most 1. */
   readonly share: number
-  /** Time limit of one attempt, in milliseconds. */
+  /** Time limit of one attempt, in ms. */
   readonly timeoutMs: number
-  /** Attempts at one fetch, the first included. */
+  /** Maximum number of attempts per fetch, including the first. */
   readonly maxAttempts: number
-  /** Spreads clients that were refused together, from 0 to below 1; Math.random where left out. */
+  /** Random numbers from 0 to below 1 for the backoff jitter, which spreads the retries of clients refused at the same time. Defaults to `Math.random`. */
   readonly random?: () => number
 }
