--- a/packages/peers/host-list-client/src/host-list-client.ts
+++ b/packages/peers/host-list-client/src/host-list-client.ts
@@ -13,7 +13,7 @@
 export interface HostListSettings {
   /** Address of the host list, as `http://ip:port`. */
   readonly address: string
-  /** Time limit of a read, in ms. */
+  /** Time limit of a read, in ms, after which its answer counts as lost. */
   readonly timeoutMs: number
   /** Defaults to real timers. */
   readonly timers?: timerService.TimerService
--- a/packages/peers/log-client/src/log-client.ts
+++ b/packages/peers/log-client/src/log-client.ts
@@ -48,7 +48,7 @@
 export interface LogClientSettings {
   /** Address of the log service, as `http://ip:port`. */
   readonly address: string
-  /** Time limit of a request, in ms. */
+  /** Time limit of a request, in ms, after which its answer counts as lost. */
   readonly timeoutMs: number
   /** Defaults to real timers. */
   readonly timers?: timerService.TimerService
--- a/packages/peers/send-http/src/send-http.ts
+++ b/packages/peers/send-http/src/send-http.ts
@@ -78,7 +78,10 @@
   readonly shortIdleTimeoutMs: number
 }
 
-/** Creates a sender with two Node.js agents: one with the default idle timeout, one with the short one. */
+/**
+ * Creates a sender with two Node.js agents: one with the default idle timeout, one with the short one. Both reuse the most
+ * recently used connection first, so that the longest idle connections time out.
+ */
 export function createSender (settings: SenderSettings): Sender {
   const defaultAgent = createAgent(settings.idleTimeoutMs)
   const shortIdleAgent = createAgent(settings.shortIdleTimeoutMs)
@@ -106,7 +109,7 @@
   }
 }
 
-/** A reset within this time, in ms, means the connection was already dropped: that takes one round trip, while a request that ran takes longer. */
+/** A reset within this time after sending, in ms, means that the connection was already dropped: that takes one round trip, while a request that ran takes longer. */
 const droppedResetMs = 15
 /**
  * How long after such a reset requests that must not run twice avoid connections with a long idle time, in ms.
--- a/packages/peers/weight-store-client/src/pacer.ts
+++ b/packages/peers/weight-store-client/src/pacer.ts
@@ -25,8 +25,8 @@
 }
 
 /** Creates a pacer; the first request may be sent at once. */
-export function createPacer (timers: timerService.TimerService, requestsPerSecond: number): Pacer {
-  let intervalMs = 1000 / requestsPerSecond
+export function createPacer (timers: timerService.TimerService, initialRequestsPerSecond: number): Pacer {
+  let intervalMs = 1000 / initialRequestsPerSecond
   let nextSlotAtMs = timers.monotonic()
 
   async function waitForSlot (signal: AbortSignal): Promise<boolean> {
