--- a/packages/peers/caller-client/src/event-stream.ts
+++ b/packages/peers/caller-client/src/event-stream.ts
@@ -1,14 +1,15 @@
-/** Reads server-sent events from the bytes of an answer. */
+/** Parses server-sent events from the bytes of a response body. */
 
+/** One server-sent event; the name is `message` where the event has none. */
 export interface ServerEvent {
   readonly name: string
   readonly data: string
 }
 
-const defaultName = 'message'
+const defaultEventName = 'message'
 
 function parseEvent (block: string): ServerEvent | undefined {
-  let name = defaultName
+  let name = defaultEventName
   const data: string[] = []
   for (const line of block.split('\n')) {
     if (line.startsWith('event: ')) name = line.slice('event: '.length)
@@ -17,13 +18,14 @@
   return data.length === 0 ? undefined : { name, data: data.join('\n') }
 }
 
+/** Yields the complete events in order; an incomplete event at the end of the body is dropped. */
 export async function * readEvents (body: AsyncIterable<Uint8Array>): AsyncGenerator<ServerEvent> {
   const decoder = new TextDecoder()
-  let rest = ''
+  let buffered = ''
   for await (const chunk of body) {
-    rest += decoder.decode(chunk, { stream: true })
-    const blocks = rest.split('\n\n')
-    rest = blocks.pop() ?? ''
+    buffered += decoder.decode(chunk, { stream: true })
+    const blocks = buffered.split('\n\n')
+    buffered = blocks.pop() ?? ''
     for (const block of blocks) {
       const event = parseEvent(block)
       if (event !== undefined) yield event
