--- a/packages/peers/caller-server/src/answer-writer.ts
+++ b/packages/peers/caller-server/src/answer-writer.ts
@@ -1,20 +1,20 @@
-/** Writes the answer of a call: as one JSON document, or as server-sent events. */
+/** Writes the answer of a call, as one JSON document or as server-sent events. */
 import * as crypto from 'node:crypto'
 import type * as http from 'node:http'
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 import * as errorBody from './error-body.js'
 
-/** What ends an answer, so that one cut short is never taken for whole. */
-export interface AnswerSeal {
+/** Metadata at the end of an answer. Its length and digest let the caller detect a truncated answer. */
+export interface AnswerTrailer {
   readonly key: types.RequestKey
   readonly branch: types.BranchId
   readonly seq: number
-  /** UTF-16 code units of the whole text. */
+  /** Length of the complete text in UTF-16 code units. */
   readonly length: number
-  /** SHA-256 of the whole text as UTF-8, in hex. */
+  /** SHA-256 of the complete text as UTF-8, in hex. */
   readonly sha256: string
-  /** Whether the answer comes from the history. */
+  /** Whether the answer was read from the history, without a new upstream call. */
   readonly repeated: boolean
   readonly upstream: types.UpstreamId
   readonly usage: types.Usage
@@ -27,13 +27,13 @@
 }
 
 export function writeFailure (res: http.ServerResponse, failure: errors.Failure): void {
-  const seconds = errorBody.toRetryAfterSeconds(failure)
-  if (seconds !== undefined) res.setHeader('retry-after', seconds)
-  writeJson(res, errorBody.toHttpStatus(failure), errorBody.errorBody(failure))
+  const retryAfterSeconds = errorBody.toRetryAfterSeconds(failure)
+  if (retryAfterSeconds !== undefined) res.setHeader('retry-after', retryAfterSeconds)
+  writeJson(res, errorBody.toHttpStatus(failure), errorBody.toErrorBody(failure))
 }
 
-/** The text that an outcome stands for: what its length and digest are taken over. */
-export function textOf (outcome: types.CallOutcome): string {
+/** The text of an outcome, over which the length and digest of the trailer are computed. */
+export function getAnswerText (outcome: types.CallOutcome): string {
   switch (outcome.type) {
     case 'message': return typeof outcome.message.content === 'string' ? outcome.message.content : JSON.stringify(outcome.message.content ?? null)
     case 'service': return JSON.stringify(outcome.body ?? null)
@@ -42,8 +42,8 @@
   }
 }
 
-export function sealOf (end: types.CallEnd): AnswerSeal {
-  const text = textOf(end.outcome)
+export function createTrailer (end: types.CallEnd): AnswerTrailer {
+  const text = getAnswerText(end.outcome)
   return {
     key: end.key,
     branch: end.branch,
@@ -56,12 +56,13 @@
   }
 }
 
-/** A call that was given up and stands as failed in the history. */
-function recordedFailure (outcome: Extract<types.CallOutcome, { type: 'failed' }>): errors.Failure {
+/** The failure that the history records for an abandoned call. */
+function toRecordedFailure (outcome: Extract<types.CallOutcome, { type: 'failed' }>): errors.Failure {
   return { tag: 'upstreamFailed', verdict: outcome.verdict, message: `${outcome.tag}: ${outcome.message}`, status: 0 }
 }
 
-function usageOf (tokens: types.TokenCount) {
+/** Token counts in the form of the chat completions API. */
+function toTokenUsage (tokens: types.TokenCount) {
   return {
     prompt_tokens: tokens.prompt,
     completion_tokens: tokens.generated,
@@ -70,96 +71,104 @@
   }
 }
 
-export function writeServiceEnd (res: http.ServerResponse, end: types.CallEnd): void {
+export function writeServiceAnswer (res: http.ServerResponse, end: types.CallEnd): void {
   const { outcome } = end
-  if (outcome.type === 'failed') return writeFailure(res, recordedFailure(outcome))
-  if (outcome.type !== 'service') return writeFailure(res, mismatch('service'))
-  writeJson(res, 200, { status: outcome.status, body: outcome.body, eelgrasswind: sealOf(end) })
+  if (outcome.type === 'failed') return writeFailure(res, toRecordedFailure(outcome))
+  if (outcome.type !== 'service') return writeFailure(res, createTargetMismatch('service'))
+  writeJson(res, 200, { status: outcome.status, body: outcome.body, eelgrasswind: createTrailer(end) })
 }
 
-export function writeCompletionEnd (res: http.ServerResponse, end: types.CallEnd, model: types.ModelId): void {
+export function writeCompletionAnswer (res: http.ServerResponse, end: types.CallEnd, model: types.ModelId): void {
   const { outcome } = end
-  if (outcome.type === 'failed') return writeFailure(res, recordedFailure(outcome))
-  if (outcome.type !== 'message') return writeFailure(res, mismatch('model'))
+  if (outcome.type === 'failed') return writeFailure(res, toRecordedFailure(outcome))
+  if (outcome.type !== 'message') return writeFailure(res, createTargetMismatch('model'))
   writeJson(res, 200, {
     id: end.key,
     object: 'chat.completion',
     model,
     choices: [{ index: 0, message: outcome.message, finish_reason: outcome.finishReason }],
-    usage: usageOf(end.tokens),
-    eelgrasswind: sealOf(end)
+    usage: toTokenUsage(end.tokens),
+    eelgrasswind: createTrailer(end)
   })
 }
 
-function mismatch (wanted: string): errors.Failure {
-  return { tag: 'keyReused', verdict: 'notRun', message: `the key belongs to a call that was not to a ${wanted}` }
+function createTargetMismatch (expectedTarget: string): errors.Failure {
+  return { tag: 'keyReused', verdict: 'notRun', message: `the key was already used by a call whose target is not a ${expectedTarget}` }
 }
 
-/** Server-sent events of one completion. The head goes out with the first event, so that a refusal has its own status. */
+/**
+ * Writes one completion as server-sent events. The response head is sent with the first event, so that a call refused
+ * before it gets the HTTP status of its failure.
+ */
 export class CompletionStream implements types.CallSink {
-  private headSent = false
+  private isHeadSent = false
   private sentText = ''
 
   constructor (private readonly res: http.ServerResponse, private readonly key: types.RequestKey, private readonly model: types.ModelId) {}
 
+  /** Sends a restart event, which tells the caller to discard the text of the previous attempt. */
   readonly onPlaced = (): void => {
     if (this.sentText === '') return
     this.sentText = ''
-    this.event('restart', this.chunk([]))
+    this.writeEvent('restart', this.createChunk([]))
   }
 
   readonly onDelta = (text: string): void => {
     this.sentText += text
-    this.data(this.chunk([{ index: 0, delta: { content: text }, finish_reason: null }]))
+    this.writeData(this.createChunk([{ index: 0, delta: { content: text }, finish_reason: null }]))
   }
 
+  /** Sends the end event, or the failure. */
   end (result: errors.Result<types.CallEnd>): void {
     if (!result.ok) return this.fail(result.failure)
     const { outcome } = result.value
-    if (outcome.type === 'failed') return this.fail(recordedFailure(outcome))
-    if (outcome.type !== 'message') return this.fail(mismatch('model'))
-    this.sendRest(textOf(outcome))
-    this.data({ ...this.chunk([{ index: 0, delta: deltaOf(outcome.message), finish_reason: outcome.finishReason }]), usage: usageOf(result.value.tokens) })
-    this.event('end', { ...this.chunk([]), eelgrasswind: sealOf(result.value) })
+    if (outcome.type === 'failed') return this.fail(toRecordedFailure(outcome))
+    if (outcome.type !== 'message') return this.fail(createTargetMismatch('model'))
+    this.sendUnsentText(getAnswerText(outcome))
+    this.writeData({ ...this.createChunk([{ index: 0, delta: createFinalDelta(outcome.message), finish_reason: outcome.finishReason }]), usage: toTokenUsage(result.value.tokens) })
+    this.writeEvent('end', { ...this.createChunk([]), eelgrasswind: createTrailer(result.value) })
     this.res.end('data: [DONE]\n\n')
   }
 
-  /** An answer from the history, or one whose pieces were lost on the way, is sent whole. */
-  private sendRest (text: string): void {
+  /**
+   * Sends the text that the deltas did not contain: all of it for an answer from the history. Where the sent text is not
+   * a prefix of the final one, the stream restarts.
+   */
+  private sendUnsentText (text: string): void {
     if (text === this.sentText) return
     if (!text.startsWith(this.sentText)) this.onPlaced()
     this.onDelta(text.slice(this.sentText.length))
   }
 
   private fail (failure: errors.Failure): void {
-    if (!this.headSent) return writeFailure(this.res, failure)
-    this.event('error', errorBody.errorBody(failure))
+    if (!this.isHeadSent) return writeFailure(this.res, failure)
+    this.writeEvent('error', errorBody.toErrorBody(failure))
     this.res.end()
   }
 
-  private chunk (choices: readonly unknown[]) {
+  private createChunk (choices: readonly unknown[]) {
     return { id: this.key, object: 'chat.completion.chunk', model: this.model, choices }
   }
 
   private sendHead (): void {
-    if (this.headSent) return
-    this.headSent = true
+    if (this.isHeadSent) return
+    this.isHeadSent = true
     this.res.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' })
   }
 
-  private data (body: unknown): void {
+  private writeData (body: unknown): void {
     this.sendHead()
     this.res.write(`data: ${JSON.stringify(body)}\n\n`)
   }
 
-  private event (name: string, body: unknown): void {
+  private writeEvent (name: string, body: unknown): void {
     this.sendHead()
     this.res.write(`event: ${name}\ndata: ${JSON.stringify(body)}\n\n`)
   }
 }
 
-/** What a message holds besides its text, such as tool calls. */
-function deltaOf (message: types.ChatMessage): Record<string, unknown> {
-  const { content, ...rest } = message
-  return typeof content === 'string' ? rest : message
+/** The fields of a message other than its text, such as tool calls; the whole message where its content is not a string. */
+function createFinalDelta (message: types.ChatMessage): Record<string, unknown> {
+  const { content, ...otherFields } = message
+  return typeof content === 'string' ? otherFields : message
 }
--- a/packages/peers/caller-server/src/caller-server.ts
+++ b/packages/peers/caller-server/src/caller-server.ts
@@ -1,4 +1,4 @@
-/** Node's HTTP server for callers: routes, authorisation, and one final answer to every request. */
+/** HTTP server for callers: parses routes, authorizes requests and writes exactly one final response to each. */
 import * as http from 'node:http'
 import type * as net from 'node:net'
 import * as errors from '@eelgrasswind/errors'
@@ -12,7 +12,7 @@
 
 export interface CallerServerSettings {
   readonly bindAddress: string
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number
   readonly handlers: handlers.CallerHandlers
   readonly logger: logger.Logger
@@ -20,8 +20,12 @@
 
 export interface CallerServer {
   readonly port: number
-  /** Takes no new connections and answers what is under way; new requests on old connections are refused as notRun. */
+  /**
+   * Stops accepting connections and resolves when the requests in flight are answered. New requests on existing
+   * connections are refused with verdict notRun.
+   */
   drain: () => Promise<void>
+  /** Closes all connections at once; requests in flight get no response. */
   close: () => Promise<void>
 }
 
@@ -33,25 +37,25 @@
   | { readonly type: 'completion', readonly program: types.ProgramId }
   | { readonly type: 'service', readonly program: types.ProgramId, readonly service: types.ServiceId, readonly path: string }
 
-/** Time that a caller has to send its whole request, in milliseconds. */
+/** Timeout for receiving a complete request, in milliseconds. */
 const requestTimeoutMs = 30_000
-/** Time to come back at another entry, in milliseconds. */
-const shutdownRetryMs = 500
+/** Retry-after time of a request refused during shutdown, in milliseconds; the retry should go to another entry. */
+const shutdownRetryAfterMs = 500
 
 const notFound: errors.Failure = { tag: 'unknownTarget', verdict: 'notRun', message: 'no such path or method', field: 'path' }
 
-function routeOf (method: string, url: string): errors.Result<Route> {
+function parseRoute (method: string, url: string): errors.Result<Route> {
   const path = url.split('?', 1)[0]!
   if (method === 'GET' && path === '/v1/health') return errors.ok({ type: 'health' })
   const parts = path.split('/')
   if (parts[1] !== 'v1' || parts[2] !== 'programs' || parts[3] === undefined) return errors.fail(notFound)
   const program = parts[3]
-  if (!types.isId(program)) return errors.fail(schema.invalid('program', 'letters, digits and . _ ~ -, at most 128, beginning with a letter or digit'))
-  const route = programRoute(method, program as types.ProgramId, parts.slice(4))
+  if (!types.isId(program)) return errors.fail(schema.createInvalidRequest('program', 'letters, digits and . _ ~ -, at most 128, beginning with a letter or digit'))
+  const route = parseProgramRoute(method, program as types.ProgramId, parts.slice(4))
   return route === undefined ? errors.fail(notFound) : errors.ok(route)
 }
 
-function programRoute (method: string, program: types.ProgramId, rest: readonly string[]): Route | undefined {
+function parseProgramRoute (method: string, program: types.ProgramId, rest: readonly string[]): Route | undefined {
   const name = `${method} ${rest.slice(0, 2).join('/')}`
   switch (name) {
     case 'PUT ': return { type: 'start', program }
@@ -59,31 +63,32 @@
     case 'GET history': return { type: 'read', program, history: true }
     case 'POST finish': return { type: 'finish', program }
     case 'POST chat/completions': return rest.length === 2 ? { type: 'completion', program } : undefined
-    default: return method === 'POST' ? serviceRoute(program, rest) : undefined
+    default: return method === 'POST' ? parseServiceRoute(program, rest) : undefined
   }
 }
 
-function serviceRoute (program: types.ProgramId, rest: readonly string[]): Route | undefined {
+function parseServiceRoute (program: types.ProgramId, rest: readonly string[]): Route | undefined {
   const [first, service, ...path] = rest
   if (first !== 'services' || !types.isId(service)) return undefined
   return { type: 'service', program, service: service as types.ServiceId, path: `/${path.join('/')}` }
 }
 
-function tokenOf (req: http.IncomingMessage): string | undefined {
+function parseBearerToken (req: http.IncomingMessage): string | undefined {
   const value = req.headers.authorization
   return value?.startsWith('Bearer ') === true ? value.slice('Bearer '.length) : undefined
 }
 
-function contextOf (req: http.IncomingMessage): types.RequestContext {
+function getRequestContext (req: http.IncomingMessage): types.RequestContext {
   const value = req.headers.traceparent
   return { traceparent: typeof value === 'string' ? value : '' }
 }
 
-const silentSink: types.CallSink = { wholeOnly: true, onPlaced: () => undefined, onDelta: () => undefined }
+/** Sink for calls whose answer is not streamed. */
+const discardingSink: types.CallSink = { wholeOnly: true, onPlaced: () => undefined, onDelta: () => undefined }
 
 export async function startCallerServer (settings: CallerServerSettings): Promise<CallerServer> {
-  const behind = settings.handlers
-  let draining = false
+  const callerHandlers = settings.handlers
+  let isDraining = false
   const server = http.createServer({ requestTimeout: requestTimeoutMs }, (req, res) => {
     serve(req, res).catch((err: unknown) => {
       settings.logger.error({ err }, 'request failed')
@@ -93,14 +98,14 @@
   })
 
   async function serve (req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const route = routeOf(req.method ?? '', req.url ?? '')
+    const route = parseRoute(req.method ?? '', req.url ?? '')
     if (!route.ok) return refuse(req, res, route.failure)
-    if (draining) {
+    if (isDraining) {
       res.setHeader('connection', 'close')
-      return refuse(req, res, { tag: 'shuttingDown', verdict: 'notRun', message: 'this entry is leaving', retryAfterMs: shutdownRetryMs })
+      return refuse(req, res, { tag: 'shuttingDown', verdict: 'notRun', message: 'this entry is shutting down', retryAfterMs: shutdownRetryAfterMs })
     }
     if (route.value.type === 'health') return answers.writeJson(res, 200, { state: 'live' })
-    const client = behind.authorize(tokenOf(req))
+    const client = callerHandlers.authorize(parseBearerToken(req))
     if (!client.ok) return refuse(req, res, client.failure)
     await serveProgram(route.value, client.value, req, res)
   }
@@ -111,15 +116,15 @@
   }
 
   async function serveProgram (route: Exclude<Route, { type: 'health' }>, client: types.ClientId, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const of = { program: route.program, client }
-    if (route.type === 'read') return writeProgram(res, await behind.read(of.program, client, route.history), 200)
-    const body = await readBody.readJson(req, behind.getMaxBodyBytes())
+    const programRef = { program: route.program, client }
+    if (route.type === 'read') return writeProgram(res, await callerHandlers.read(programRef.program, client, route.history), 200)
+    const body = await readBody.readJson(req, callerHandlers.getMaxBodyBytes())
     if (!body.ok) return answers.writeFailure(res, body.failure)
     switch (route.type) {
-      case 'start': return await serveStart(of, body.value, req, res)
-      case 'finish': return await serveFinish(of, body.value, req, res)
-      case 'completion': return await serveCompletion(of, body.value, req, res)
-      case 'service': return await serveService(of, route, body.value, req, res)
+      case 'start': return await serveStart(programRef, body.value, req, res)
+      case 'finish': return await serveFinish(programRef, body.value, req, res)
+      case 'completion': return await serveCompletion(programRef, body.value, req, res)
+      case 'service': return await serveService(programRef, route, body.value, req, res)
       default: return errors.assertNever(route)
     }
   }
@@ -130,38 +135,38 @@
     answers.writeJson(res, status, history === null ? { program: summary } : { program: summary, history })
   }
 
-  async function serveStart (of: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const start = parse.parseStart(of, body)
+  async function serveStart (programRef: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+    const start = parse.parseStart(programRef, body)
     if (!start.ok) return answers.writeFailure(res, start.failure)
-    writeProgram(res, await behind.start(start.value, contextOf(req)), 201)
+    writeProgram(res, await callerHandlers.start(start.value, getRequestContext(req)), 201)
   }
 
-  async function serveFinish (of: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const finish = schema.check(schema.finishBody, body)
+  async function serveFinish (programRef: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+    const finish = schema.validate(schema.finishBody, body)
     if (!finish.ok) return answers.writeFailure(res, finish.failure)
-    writeProgram(res, await behind.finish(of.program, of.client, finish.value.result, contextOf(req)), 200)
+    writeProgram(res, await callerHandlers.finish(programRef.program, programRef.client, finish.value.result, getRequestContext(req)), 200)
   }
 
-  async function serveCompletion (of: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const parsed = parse.parseCompletion(of, req.headers, body)
+  async function serveCompletion (programRef: { program: types.ProgramId, client: types.ClientId }, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+    const parsed = parse.parseCompletion(programRef, req.headers, body)
     if (!parsed.ok) return answers.writeFailure(res, parsed.failure)
     const { call, stream } = parsed.value
     const model = call.target.type === 'model' ? call.target.model : '' as types.ModelId
     if (stream) {
       const events = new answers.CompletionStream(res, call.key, model)
-      events.end(await behind.call(call, contextOf(req), events))
+      events.end(await callerHandlers.call(call, getRequestContext(req), events))
       return
     }
-    const result = await behind.call(call, contextOf(req), silentSink)
-    if (result.ok) answers.writeCompletionEnd(res, result.value, model)
+    const result = await callerHandlers.call(call, getRequestContext(req), discardingSink)
+    if (result.ok) answers.writeCompletionAnswer(res, result.value, model)
     else answers.writeFailure(res, result.failure)
   }
 
-  async function serveService (of: { program: types.ProgramId, client: types.ClientId }, route: Extract<Route, { type: 'service' }>, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const call = parse.parseServiceCall(of, req.headers, route.service, route.path, body)
+  async function serveService (programRef: { program: types.ProgramId, client: types.ClientId }, route: Extract<Route, { type: 'service' }>, body: unknown, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+    const call = parse.parseServiceCall(programRef, req.headers, route.service, route.path, body)
     if (!call.ok) return answers.writeFailure(res, call.failure)
-    const result = await behind.call(call.value, contextOf(req), silentSink)
-    if (result.ok) answers.writeServiceEnd(res, result.value)
+    const result = await callerHandlers.call(call.value, getRequestContext(req), discardingSink)
+    if (result.ok) answers.writeServiceAnswer(res, result.value)
     else answers.writeFailure(res, result.failure)
   }
 
@@ -175,7 +180,7 @@
   }
 
   async function drain (): Promise<void> {
-    draining = true
+    isDraining = true
     const closed = closeServer()
     server.closeIdleConnections()
     await closed
--- a/packages/peers/caller-server/src/error-body.ts
+++ b/packages/peers/caller-server/src/error-body.ts
@@ -1,4 +1,4 @@
-/** Failures as callers see them: an HTTP status, Retry-After, and a JSON body with code, field and verdict. */
+/** Converts failures to HTTP responses for callers: a status, Retry-After, and a JSON body with code, field and verdict. */
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 
@@ -8,12 +8,12 @@
     readonly message: string
     readonly verdict: types.Verdict
     readonly field: string | null
-    /** When to come back, in milliseconds from now; null where coming back does not help. */
+    /** Retry-after time in milliseconds; null where a retry does not help. */
     readonly retryAfterMs: number | null
   }
 }
 
-export function errorBody (failure: errors.Failure): ErrorBody {
+export function toErrorBody (failure: errors.Failure): ErrorBody {
   return {
     error: {
       code: failure.tag,
@@ -25,7 +25,7 @@
   }
 }
 
-/** Seconds for the Retry-After header, rounded up. */
+/** Value of the Retry-After header in seconds, rounded up, at least 1; undefined where a retry does not help. */
 export function toRetryAfterSeconds (failure: errors.Failure): number | undefined {
   const ms = errors.getRetryAfterMs(failure)
   return ms === undefined ? undefined : Math.max(1, Math.ceil(ms / 1000))
--- a/packages/peers/caller-server/src/parse-request.ts
+++ b/packages/peers/caller-server/src/parse-request.ts
@@ -1,22 +1,23 @@
-/** From the parts of an HTTP request to what the process behind is asked. */
+/** Parses the headers and JSON body of an HTTP request into the arguments of the caller handlers. */
 import type * as http from 'node:http'
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 import type * as handlers from './caller-handlers.js'
 import * as schema from './request-schema.js'
 
+/** A model call and whether its answer is streamed. */
 export interface CompletionRequest {
   readonly call: handlers.CallRequest
   readonly stream: boolean
 }
 
-interface ProgramOf {
+interface ProgramRef {
   readonly program: types.ProgramId
   readonly client: types.ClientId
 }
 
-/** Headers that may stand for the members of `eelgrasswind`, for clients that cannot add members to the body. */
-const placeHeaders = {
+/** Headers that replace the members of `eelgrasswind`, for clients that cannot add members to the body. */
+const metadataHeaders = {
   key: 'idempotency-key',
   branch: 'x-branch',
   seq: 'x-sequence',
@@ -24,7 +25,7 @@
   timeoutMs: 'x-timeout-ms'
 } as const
 
-function headerValue (name: keyof typeof placeHeaders, text: string): unknown {
+function parseHeaderValue (name: keyof typeof metadataHeaders, text: string): unknown {
   switch (name) {
     case 'key':
     case 'branch': return text
@@ -35,28 +36,29 @@
   }
 }
 
-function placeOf (headers: http.IncomingHttpHeaders, members: Readonly<Record<string, unknown>>): Record<string, unknown> {
-  const place: Record<string, unknown> = {}
-  for (const name of Object.keys(placeHeaders) as (keyof typeof placeHeaders)[]) {
-    const text = headers[placeHeaders[name]]
-    if (typeof text === 'string') place[name] = headerValue(name, text)
+/** Members of the body take precedence over headers. */
+function mergeMetadata (headers: http.IncomingHttpHeaders, bodyMembers: Readonly<Record<string, unknown>>): Record<string, unknown> {
+  const metadata: Record<string, unknown> = {}
+  for (const name of Object.keys(metadataHeaders) as (keyof typeof metadataHeaders)[]) {
+    const text = headers[metadataHeaders[name]]
+    if (typeof text === 'string') metadata[name] = parseHeaderValue(name, text)
   }
-  return { ...place, ...members }
+  return { ...metadata, ...bodyMembers }
 }
 
-function checkPlace (headers: http.IncomingHttpHeaders, members: Readonly<Record<string, unknown>>) {
-  return schema.check(schema.callPlace, placeOf(headers, members), 'eelgrasswind')
+function parseMetadata (headers: http.IncomingHttpHeaders, bodyMembers: Readonly<Record<string, unknown>>) {
+  return schema.validate(schema.callMetadata, mergeMetadata(headers, bodyMembers), 'eelgrasswind')
 }
 
-export function parseStart (of: ProgramOf, body: unknown): errors.Result<types.StartRequest> {
-  const parsed = schema.check(schema.startBody, body)
+export function parseStart (programRef: ProgramRef, body: unknown): errors.Result<types.StartRequest> {
+  const parsed = schema.validate(schema.startBody, body)
   if (!parsed.ok) return parsed
   const { kind, deadline, budget } = parsed.value
-  const at = typeof deadline === 'string' ? Date.parse(deadline) : deadline
+  const deadlineMs = typeof deadline === 'string' ? Date.parse(deadline) : deadline
   return errors.ok({
-    ...of,
+    ...programRef,
     kind: kind as types.KindId,
-    deadline: at === undefined ? null : at as types.EpochMs,
+    deadline: deadlineMs === undefined ? null : deadlineMs as types.EpochMs,
     budget: withoutUndefined(budget ?? {})
   })
 }
@@ -65,12 +67,12 @@
   return Object.fromEntries(Object.entries(budget).filter(([, value]) => value !== undefined))
 }
 
-export function parseCompletion (of: ProgramOf, headers: http.IncomingHttpHeaders, body: unknown): errors.Result<CompletionRequest> {
-  const parsed = schema.check(schema.completionBody, body)
+export function parseCompletion (programRef: ProgramRef, headers: http.IncomingHttpHeaders, body: unknown): errors.Result<CompletionRequest> {
+  const parsed = schema.validate(schema.completionBody, body)
   if (!parsed.ok) return parsed
   const { model, messages, stream, max_tokens: maxTokens, max_completion_tokens: maxCompletionTokens, eelgrasswind, ...options } = parsed.value
-  const place = checkPlace(headers, eelgrasswind)
-  if (!place.ok) return place
+  const metadata = parseMetadata(headers, eelgrasswind)
+  if (!metadata.ok) return metadata
   const target: types.CallTarget = {
     type: 'model',
     model: model as types.ModelId,
@@ -78,26 +80,26 @@
     maxTokens: maxCompletionTokens ?? maxTokens ?? schema.unlimitedTokens,
     options
   }
-  return errors.ok({ call: callOf(of, place.value, target), stream })
+  return errors.ok({ call: createCallRequest(programRef, metadata.value, target), stream })
 }
 
-export function parseServiceCall (of: ProgramOf, headers: http.IncomingHttpHeaders, service: types.ServiceId, path: string, body: unknown): errors.Result<handlers.CallRequest> {
-  const parsed = schema.check(schema.serviceBody, body)
+export function parseServiceCall (programRef: ProgramRef, headers: http.IncomingHttpHeaders, service: types.ServiceId, path: string, body: unknown): errors.Result<handlers.CallRequest> {
+  const parsed = schema.validate(schema.serviceBody, body)
   if (!parsed.ok) return parsed
-  const place = checkPlace(headers, parsed.value.eelgrasswind)
-  if (!place.ok) return place
+  const metadata = parseMetadata(headers, parsed.value.eelgrasswind)
+  if (!metadata.ok) return metadata
   const target: types.CallTarget = { type: 'service', service, path, body: parsed.value.body ?? null }
-  return errors.ok(callOf(of, place.value, target))
+  return errors.ok(createCallRequest(programRef, metadata.value, target))
 }
 
-function callOf (of: ProgramOf, place: { key: string, branch: string, seq: number, idempotent?: boolean | undefined, timeoutMs?: number | undefined }, target: types.CallTarget): handlers.CallRequest {
+function createCallRequest (programRef: ProgramRef, metadata: { key: string, branch: string, seq: number, idempotent?: boolean | undefined, timeoutMs?: number | undefined }, target: types.CallTarget): handlers.CallRequest {
   return {
-    ...of,
-    key: place.key as types.RequestKey,
-    branch: place.branch as types.BranchId,
-    seq: place.seq,
-    idempotent: place.idempotent,
-    timeoutMs: place.timeoutMs,
+    ...programRef,
+    key: metadata.key as types.RequestKey,
+    branch: metadata.branch as types.BranchId,
+    seq: metadata.seq,
+    idempotent: metadata.idempotent,
+    timeoutMs: metadata.timeoutMs,
     target
   }
 }
--- a/packages/peers/caller-server/src/read-body.ts
+++ b/packages/peers/caller-server/src/read-body.ts
@@ -1,32 +1,32 @@
-/** Reads and parses the body of a request, up to a limit. */
+/** Reads and parses the JSON body of a request, up to a size limit. */
 import type * as http from 'node:http'
 import * as errors from '@eelgrasswind/errors'
 import * as requestSchema from './request-schema.js'
 
-function tooLarge (limitBytes: number): errors.Failure {
-  return { tag: 'bodyTooLarge', verdict: 'notRun', message: `the body is longer than ${limitBytes} bytes`, limitBytes }
+function createTooLargeFailure (limitBytes: number): errors.Failure {
+  return { tag: 'bodyTooLarge', verdict: 'notRun', message: `request body exceeds the limit of ${limitBytes} bytes`, limitBytes }
 }
 
-/** Past the limit the rest is read and thrown away, so that the sender sees the answer. */
+/** Reads and discards the body beyond the limit, so that the sender can finish sending and receives the response. */
 function readText (req: http.IncomingMessage, limitBytes: number): Promise<errors.Result<string>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
-    let bytes = 0
+    let receivedBytes = 0
     req.on('data', (chunk: Buffer) => {
-      bytes += chunk.length
-      if (bytes <= limitBytes) chunks.push(chunk)
+      receivedBytes += chunk.length
+      if (receivedBytes <= limitBytes) chunks.push(chunk)
     })
-    req.on('end', () => resolve(bytes > limitBytes ? errors.fail(tooLarge(limitBytes)) : errors.ok(Buffer.concat(chunks).toString('utf8'))))
-    req.on('error', (err) => resolve(errors.fail(requestSchema.invalid('(body)', `a whole body, but its connection broke: ${err.message}`))))
+    req.on('end', () => resolve(receivedBytes > limitBytes ? errors.fail(createTooLargeFailure(limitBytes)) : errors.ok(Buffer.concat(chunks).toString('utf8'))))
+    req.on('error', (err) => resolve(errors.fail(requestSchema.createInvalidRequest('(body)', `a complete body, but the connection failed: ${err.message}`))))
   })
 }
 
-/** An empty body counts as an empty object. */
+/** Parses the body as JSON; an empty body counts as an empty object. Fails with bodyTooLarge or invalidRequest. */
 export async function readJson (req: http.IncomingMessage, limitBytes: number): Promise<errors.Result<unknown>> {
-  const announced = Number(req.headers['content-length'] ?? 0)
-  if (announced > limitBytes) {
+  const declaredBytes = Number(req.headers['content-length'] ?? 0)
+  if (declaredBytes > limitBytes) {
     req.resume()
-    return errors.fail(tooLarge(limitBytes))
+    return errors.fail(createTooLargeFailure(limitBytes))
   }
   const text = await readText(req, limitBytes)
   if (!text.ok) return text
@@ -34,6 +34,6 @@
   try {
     return errors.ok(JSON.parse(text.value))
   } catch (err) {
-    return errors.fail(requestSchema.invalid('(body)', `JSON: ${(err as Error).message}`))
+    return errors.fail(requestSchema.createInvalidRequest('(body)', `JSON: ${(err as Error).message}`))
   }
 }
