--- a/packages/peers/sidecar-client/src/channel-client.ts
+++ b/packages/peers/sidecar-client/src/channel-client.ts
@@ -1,4 +1,4 @@
-/** Sends the frequent requests to one peer on a long-lived stream, which is opened on demand and again after it broke. */
+/** Sends the frequent requests to one peer on a long-lived stream, which is opened on demand and reopened after a failure. */
 import * as connect from '@connectrpc/connect'
 import * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
@@ -9,103 +9,110 @@
 export interface ChannelClientSettings {
   readonly transport: connect.Transport
   readonly timers: timerService.TimerService
-  /** A peer that has not opened the stream after this time is given up, in milliseconds: nothing was sent to it. */
+  /** Timeout for the peer to open a stream, in milliseconds. Requests on a stream that times out were not sent: notRun. */
   readonly openTimeoutMs: number
-  readonly noteSender: (sender: gen.Sender | undefined) => void
-  readonly onBroken: (failure: errors.Failure) => void
+  /** Called with the sender of each message; undefined where the message has none. */
+  readonly onSenderReceived: (sender: gen.Sender | undefined) => void
+  /** Called when the peer could not be reached or a stream to it failed. */
+  readonly onUnavailable: (failure: errors.Failure) => void
 }
 
-/** A stream without requests is closed after this, so that idle peers exchange nothing, in milliseconds. */
+/** Idle timeout of a stream without requests, in milliseconds, so that idle peers exchange no messages. */
 const idleStreamMs = 5_000
 
-const noPieces: channelRequests.Receiver = { onPlaced: () => undefined, onDelta: () => undefined }
+/** Receiver for requests whose answer has no intermediate frames. */
+const discardingReceiver: channelRequests.AnswerReceiver = { onPlaced: () => undefined, onDelta: () => undefined }
 
+/** Reuses the current stream while it accepts requests, and opens a new one otherwise. */
 export class ChannelClient {
   private readonly client: connect.Client<typeof gen.ChannelService>
-  private current: channelRequests.ChannelRequests | undefined
-  private idleCheck: timerService.Subscription | undefined
+  private currentRequests: channelRequests.ChannelRequests | undefined
+  private idleTimer: timerService.Subscription | undefined
   private lastRequestAt = 0
-  private closed = false
+  private isClosed = false
 
   constructor (private readonly settings: ChannelClientSettings) {
     this.client = connect.createClient(gen.ChannelService, settings.transport)
   }
 
-  async request<T> (body: channelRequests.RequestBody, receiver: channelRequests.Receiver, signal?: AbortSignal): Promise<errors.Result<T>> {
+  async request<T> (body: channelRequests.RequestBody, receiver: channelRequests.AnswerReceiver, signal?: AbortSignal): Promise<errors.Result<T>> {
     this.lastRequestAt = this.settings.timers.monotonic()
-    return await this.stream().request<T>(body, receiver, signal)
+    return await this.getAcceptingRequests().request<T>(body, receiver, signal)
   }
 
-  /** As request, for one that the peer answers at once: no answer within the limit, in milliseconds, counts as a broken peer. */
-  async ask<T> (body: channelRequests.RequestBody, limitMs: number): Promise<errors.Result<T>> {
-    const late = new AbortController()
-    const limit = this.settings.timers.after(limitMs, () => late.abort())
-    const result = await this.request<T>(body, noPieces, late.signal)
-    limit.cancel()
-    if (result.ok || !late.signal.aborted || result.failure.tag !== 'cancelled') return result
-    const failure = transportFailures.unreachable(result.failure.verdict, `no answer within ${limitMs} ms`)
-    this.noteBroken(failure)
+  /**
+   * Sends a request that the peer answers promptly. Without an answer within the timeout, in milliseconds, the request
+   * fails and the peer is reported as unavailable.
+   */
+  async requestWithTimeout<T> (body: channelRequests.RequestBody, timeoutMs: number): Promise<errors.Result<T>> {
+    const timeoutController = new AbortController()
+    const timeout = this.settings.timers.after(timeoutMs, () => timeoutController.abort())
+    const result = await this.request<T>(body, discardingReceiver, timeoutController.signal)
+    timeout.cancel()
+    if (result.ok || !timeoutController.signal.aborted || result.failure.tag !== 'cancelled') return result
+    const failure = transportFailures.createPeerUnavailable(result.failure.verdict, `no answer within ${timeoutMs} ms`)
+    this.reportUnavailable(failure)
     return errors.fail(failure)
   }
 
-  private stream (): channelRequests.ChannelRequests {
-    if (this.current?.isAccepting === true) return this.current
+  private getAcceptingRequests (): channelRequests.ChannelRequests {
+    if (this.currentRequests?.isAccepting === true) return this.currentRequests
     const requests = new channelRequests.ChannelRequests()
-    this.current = requests
-    this.idleCheck?.cancel()
-    this.idleCheck = this.settings.timers.after(idleStreamMs, () => this.closeIdle(requests))
-    void this.run(requests)
+    this.currentRequests = requests
+    this.idleTimer?.cancel()
+    this.idleTimer = this.settings.timers.after(idleStreamMs, () => this.closeIfIdle(requests))
+    void this.runStream(requests)
     return requests
   }
 
-  private closeIdle (requests: channelRequests.ChannelRequests): void {
-    const idleMs = requests.size > 0 ? 0 : this.settings.timers.monotonic() - this.lastRequestAt
+  private closeIfIdle (requests: channelRequests.ChannelRequests): void {
+    const idleMs = requests.inFlightCount > 0 ? 0 : this.settings.timers.monotonic() - this.lastRequestAt
     if (idleMs >= idleStreamMs) return requests.stopAccepting()
     if (!requests.isAccepting) return
-    this.idleCheck = this.settings.timers.after(idleStreamMs - idleMs, () => this.closeIdle(requests))
+    this.idleTimer = this.settings.timers.after(idleStreamMs - idleMs, () => this.closeIfIdle(requests))
   }
 
-  private async run (requests: channelRequests.ChannelRequests): Promise<void> {
-    let opened: () => void = () => undefined
-    const open = new Promise<void>((resolve) => { opened = resolve })
-    const late = new AbortController()
-    const limit = this.settings.timers.after(this.settings.openTimeoutMs, () => {
-      requests.fail('the peer does not open the stream')
-      late.abort()
+  private async runStream (requests: channelRequests.ChannelRequests): Promise<void> {
+    let resolveOpened: () => void = () => undefined
+    const streamOpened = new Promise<void>((resolve) => { resolveOpened = resolve })
+    const timeoutController = new AbortController()
+    const timeout = this.settings.timers.after(this.settings.openTimeoutMs, () => {
+      requests.failAll('peer did not open the stream within the timeout')
+      timeoutController.abort()
     })
     try {
-      for await (const message of this.client.open(outgoing(requests, open), { signal: late.signal })) {
-        limit.cancel()
-        opened()
-        this.settings.noteSender(message.sender)
+      for await (const message of this.client.open(generateMessages(requests, streamOpened), { signal: timeoutController.signal })) {
+        timeout.cancel()
+        resolveOpened()
+        this.settings.onSenderReceived(message.sender)
         requests.receive(message)
       }
-      // An end that was not announced, with answers missing.
-      if (requests.size > 0) this.noteBroken(transportFailures.unreachable('mayHaveRun', 'the peer ended the stream'))
-      requests.fail('the peer ended the stream')
+      // The peer ended the stream without a closing message and without answering all requests.
+      if (requests.inFlightCount > 0) this.reportUnavailable(transportFailures.createPeerUnavailable('mayHaveRun', 'peer ended the stream'))
+      requests.failAll('peer ended the stream')
     } catch (err) {
       const message = err instanceof Error ? err.message : String(err)
-      requests.fail(message)
-      this.noteBroken(transportFailures.transportFailure(err))
+      requests.failAll(message)
+      this.reportUnavailable(transportFailures.toTransportFailure(err))
     } finally {
-      limit.cancel()
-      opened()
+      timeout.cancel()
+      resolveOpened()
     }
   }
 
-  /** A connection that was closed here says nothing of the host, which may live at another address by now. */
-  private noteBroken (failure: errors.Failure): void {
-    if (!this.closed) this.settings.onBroken(failure)
+  /** A connection that this client closed is not reported: the host may be available at another address. */
+  private reportUnavailable (failure: errors.Failure): void {
+    if (!this.isClosed) this.settings.onUnavailable(failure)
   }
 
   close (): void {
-    this.closed = true
-    this.idleCheck?.cancel()
+    this.isClosed = true
+    this.idleTimer?.cancel()
   }
 }
 
-/** Nothing is sent before the peer has opened the stream, so that a request to a peer that is gone never left. */
-async function * outgoing (requests: channelRequests.ChannelRequests, open: Promise<void>): AsyncGenerator<{ frames: gen.RequestFrame[] }> {
-  await open
-  for await (const frames of requests.batches()) yield { frames }
+/** Sends nothing before the peer has opened the stream, so that requests to an unreachable peer are certainly notRun. */
+async function * generateMessages (requests: channelRequests.ChannelRequests, streamOpened: Promise<void>): AsyncGenerator<{ frames: gen.RequestFrame[] }> {
+  await streamOpened
+  for await (const frames of requests.takeBatches()) yield { frames }
 }
--- a/packages/peers/sidecar-client/src/channel-requests.ts
+++ b/packages/peers/sidecar-client/src/channel-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The requests under way on one stream to a peer: which answer belongs to which, and what is known of each when the
- * stream ends. Knows nothing of the transport.
+ * Tracks the requests in flight on one stream to a peer: matches answers to requests by id, and determines the verdict
+ * of each request when the stream ends. Independent of the transport.
  */
 import * as protobuf from '@bufbuild/protobuf'
 import * as errors from '@eelgrasswind/errors'
@@ -10,69 +10,71 @@
 import * as gen from './gen/eelgrasswind_pb.js'
 import * as transportFailures from './transport-failure.js'
 
+/** Body of a request frame that expects an answer. */
 export type RequestBody = Exclude<gen.RequestFrame['body'], { case: 'cancel' } | { case: undefined }>
 
-/** Receives the pieces of one answer. */
-export interface Receiver {
-  readonly onPlaced: (placed: types.Placement) => void
+/** Receives the intermediate frames of one answer: text deltas, and the start of each attempt, which voids earlier deltas. */
+export interface AnswerReceiver {
+  readonly onPlaced: (placement: types.Placement) => void
   readonly onDelta: (text: string) => void
 }
 
-interface OpenRequest {
-  readonly receiver: Receiver
+interface InFlightRequest {
+  readonly receiver: AnswerReceiver
   readonly resolve: (result: errors.Result<unknown>) => void
-  /** Its frame was handed to the transport: it may have reached the peer. */
-  left: boolean
+  /** Whether the frame was handed to the transport, so that it may have reached the peer. */
+  isSent: boolean
 }
 
-/** Bytes of requests that may wait for a peer that does not read. */
+/** Maximum size of the send queue in bytes, for a peer that does not read. */
 const maxWaitingBytes = 64 * 1024 * 1024
-/** Ids of one stream; after the last one a new stream is opened. */
+/** Largest request id of one stream; further requests go on a new stream. */
 const maxId = 2 ** 31
-/** What a frame takes besides its documents, in bytes. */
-const frameBytes = 64
+/** Estimated size of a frame without its JSON documents, in bytes. */
+const frameOverheadBytes = 64
 
-const overloaded: errors.Failure = { tag: 'overloaded', verdict: 'notRun', message: 'too much waits to be sent to this peer', retryAfterMs: transportFailures.peerRetryAfterMs }
+const queueFullFailure: errors.Failure = { tag: 'overloaded', verdict: 'notRun', message: 'send queue of this peer is full', retryAfterMs: transportFailures.peerRetryAfterMs }
 
-function sizeOf ({ body }: gen.RequestFrame): number {
+function estimateFrameBytes ({ body }: gen.RequestFrame): number {
   switch (body.case) {
-    case 'call': return frameBytes + body.value.callJson.length
-    case 'dispatch': return frameBytes + body.value.payloadJson.length
-    case 'start': return frameBytes + body.value.startJson.length
+    case 'call': return frameOverheadBytes + body.value.callJson.length
+    case 'dispatch': return frameOverheadBytes + body.value.payloadJson.length
+    case 'start': return frameOverheadBytes + body.value.startJson.length
     case 'finish':
     case 'read':
     case 'hold':
     case 'drop':
     case 'cancel':
-    case undefined: return frameBytes
+    case undefined: return frameOverheadBytes
     default: return errors.assertNever(body)
   }
 }
 
+/** Client side of one stream. */
 export class ChannelRequests {
-  private readonly open = new Map<number, OpenRequest>()
-  private readonly queue = new frameQueues.FrameQueue<gen.RequestFrame>({ maxWaitingBytes, sizeOf })
+  private readonly inFlight = new Map<number, InFlightRequest>()
+  private readonly queue = new frameQueues.FrameQueue<gen.RequestFrame>({ maxWaitingBytes, estimateBytes: estimateFrameBytes })
   private lastId = 0
-  private accepting = true
+  private canAccept = true
 
-  /** Requests whose answer is not whole. */
-  get size (): number {
-    return this.open.size
+  /** Number of requests without a complete answer. */
+  get inFlightCount (): number {
+    return this.inFlight.size
   }
 
-  /** Whether new requests may go on this stream. */
+  /** Whether this stream accepts new requests. */
   get isAccepting (): boolean {
-    return this.accepting
+    return this.canAccept
   }
 
-  /** Resolves with the whole answer, or with a failure whose verdict says whether the request may have run. */
-  async request<T> (body: RequestBody, receiver: Receiver, signal?: AbortSignal): Promise<errors.Result<T>> {
-    if (signal?.aborted === true) return errors.fail(cancelled('notRun'))
+  /** Resolves with the complete answer, or with a failure whose verdict says whether the request may have run. */
+  async request<T> (body: RequestBody, receiver: AnswerReceiver, signal?: AbortSignal): Promise<errors.Result<T>> {
+    if (signal?.aborted === true) return errors.fail(createCancelledFailure('notRun'))
     this.lastId += 1
     const id = this.lastId
-    if (id === maxId) this.accepting = false
-    const result = new Promise<errors.Result<unknown>>((resolve) => { this.open.set(id, { receiver, resolve, left: false }) })
-    if (!this.queue.push(protobuf.create(gen.RequestFrameSchema, { id, body }))) this.end(id, errors.fail(overloaded))
+    if (id === maxId) this.canAccept = false
+    const result = new Promise<errors.Result<unknown>>((resolve) => { this.inFlight.set(id, { receiver, resolve, isSent: false }) })
+    if (!this.queue.push(protobuf.create(gen.RequestFrameSchema, { id, body }))) this.complete(id, errors.fail(queueFullFailure))
     if (signal === undefined) return await result as errors.Result<T>
     const cancel = (): void => this.cancel(id)
     signal.addEventListener('abort', cancel)
@@ -83,94 +85,94 @@
     }
   }
 
-  /** The frames to send, one batch after the other; what is taken from here counts as sent. */
-  async * batches (): AsyncGenerator<gen.RequestFrame[]> {
-    for await (const frames of this.queue.batches()) {
-      this.noteLeft(frames)
+  /** Yields batches of frames to send, and marks their requests as sent. */
+  async * takeBatches (): AsyncGenerator<gen.RequestFrame[]> {
+    for await (const frames of this.queue.takeBatches()) {
+      this.markSent(frames)
       yield frames
     }
   }
 
-  /** The frames that wait now, for a transport that asks for them; they count as sent. */
-  take (): gen.RequestFrame[] {
+  /** Takes the queued frames, for a transport that polls, and marks their requests as sent. */
+  takeFrames (): gen.RequestFrame[] {
     const frames = this.queue.take()
-    this.noteLeft(frames)
+    this.markSent(frames)
     return frames
   }
 
-  private noteLeft (frames: readonly gen.RequestFrame[]): void {
+  private markSent (frames: readonly gen.RequestFrame[]): void {
     for (const { id } of frames) {
-      const request = this.open.get(id)
-      if (request !== undefined) request.left = true
+      const request = this.inFlight.get(id)
+      if (request !== undefined) request.isSent = true
     }
   }
 
-  /** Takes what the peer sent. */
+  /** Processes one message of the peer. */
   receive (message: gen.ReplyFrames): void {
     for (const frame of message.frames) this.receiveFrame(frame)
-    if (message.closing !== undefined) this.peerCloses(message.closing.lastId)
+    if (message.closing !== undefined) this.handleClosing(message.closing.lastId)
   }
 
   private receiveFrame ({ id, body }: gen.ReplyFrame): void {
-    const request = this.open.get(id)
-    // The answer of a request that was given up.
+    const request = this.inFlight.get(id)
+    // A late frame of a cancelled request.
     if (request === undefined) return
     try {
       switch (body.case) {
         case 'delta': return request.receiver.onDelta(body.value)
         case 'placedJson': return request.receiver.onPlaced(convert.fromJson(body.value))
-        case 'endJson': return this.end(id, errors.ok(convert.fromJson(body.value)))
-        case 'failure': return this.end(id, errors.fail(convert.fromFailureMessage(body.value)))
+        case 'endJson': return this.complete(id, errors.ok(convert.fromJson(body.value)))
+        case 'failure': return this.complete(id, errors.fail(convert.fromFailureMessage(body.value)))
         case undefined: return
         default: return errors.assertNever(body)
       }
     } catch (err) {
-      // A fault in one answer must not end the others.
-      this.end(id, errors.fail(errors.toFailure(err)))
+      // An error in one answer must not fail the other requests.
+      this.complete(id, errors.fail(errors.toFailure(err)))
     }
   }
 
-  /** Takes no new requests; those under way go on. */
+  /** Accepts no new requests; the stream ends when those in flight are answered. */
   stopAccepting (): void {
-    this.accepting = false
-    if (this.open.size === 0) this.queue.end()
+    this.canAccept = false
+    if (this.inFlight.size === 0) this.queue.end()
   }
 
-  /** The peer takes no request after the one named: those sent later never ran. */
-  private peerCloses (lastId: number): void {
-    this.accepting = false
-    for (const id of [...this.open.keys()]) {
-      if (id > lastId) this.end(id, errors.fail(transportFailures.unreachable('notRun', 'the peer is leaving')))
+  /** The peer accepts no request after lastId: later ones did not run. */
+  private handleClosing (lastId: number): void {
+    this.canAccept = false
+    for (const id of [...this.inFlight.keys()]) {
+      if (id > lastId) this.complete(id, errors.fail(transportFailures.createPeerUnavailable('notRun', 'peer is shutting down')))
     }
     this.queue.remove(({ id }) => id > lastId)
-    if (this.open.size === 0) this.queue.end()
+    if (this.inFlight.size === 0) this.queue.end()
   }
 
-  /** The stream has ended: a request that had left may have run, any other did not. */
-  fail (message: string): void {
-    this.accepting = false
-    for (const [id, { left }] of [...this.open]) this.end(id, errors.fail(transportFailures.unreachable(left ? 'mayHaveRun' : 'notRun', message)))
+  /** Fails all requests after the stream ended: those that were sent may have run, the others did not. */
+  failAll (message: string): void {
+    this.canAccept = false
+    for (const [id, { isSent: left }] of [...this.inFlight]) this.complete(id, errors.fail(transportFailures.createPeerUnavailable(left ? 'mayHaveRun' : 'notRun', message)))
     this.queue.take()
     this.queue.end()
   }
 
   private cancel (id: number): void {
-    const request = this.open.get(id)
+    const request = this.inFlight.get(id)
     if (request === undefined) return
-    if (request.left) this.queue.push(protobuf.create(gen.RequestFrameSchema, { id, body: { case: 'cancel', value: {} } }))
+    if (request.isSent) this.queue.push(protobuf.create(gen.RequestFrameSchema, { id, body: { case: 'cancel', value: {} } }))
     else this.queue.remove((frame) => frame.id === id)
-    this.end(id, errors.fail(cancelled(request.left ? 'mayHaveRun' : 'notRun')))
+    this.complete(id, errors.fail(createCancelledFailure(request.isSent ? 'mayHaveRun' : 'notRun')))
   }
 
-  private end (id: number, result: errors.Result<unknown>): void {
-    const request = this.open.get(id)
+  private complete (id: number, result: errors.Result<unknown>): void {
+    const request = this.inFlight.get(id)
     if (request === undefined) return
-    this.open.delete(id)
+    this.inFlight.delete(id)
     request.resolve(result)
-    if (!this.accepting && this.open.size === 0) this.queue.end()
+    if (!this.canAccept && this.inFlight.size === 0) this.queue.end()
   }
 }
 
-function cancelled (verdict: types.Verdict): errors.Failure {
-  return { tag: 'cancelled', verdict, message: 'the request was given up by its sender' }
+function createCancelledFailure (verdict: types.Verdict): errors.Failure {
+  return { tag: 'cancelled', verdict, message: 'request cancelled by its sender' }
 }
--- a/packages/peers/sidecar-client/src/channel.test.ts
+++ b/packages/peers/sidecar-client/src/channel.test.ts
@@ -14,19 +14,19 @@
 
 const sender: types.Sender = { host: 'h1' as types.HostId, incarnation: 'i1' as types.Incarnation, leaving: false, configVersion: 1 as types.ConfigVersion }
 
-function turn (): Promise<void> {
+function nextEventLoopTurn (): Promise<void> {
   return new Promise((resolve) => { setImmediate(resolve) })
 }
 
-interface Run {
+interface RunningCall {
   readonly key: string
   readonly sink: types.CallSink
   readonly end: (result: errors.Result<types.CallEnd>) => void
 }
 
-/** A home whose calls end when the test says so, and which counts what it runs. */
+/** A home whose calls end under the test's control, and which counts the executions of each key. */
 function createHome () {
-  const runs: Run[] = []
+  const runs: RunningCall[] = []
   const executions = new Map<string, number>()
   const call = (req: types.Call, _ctx: types.RequestContext, sink: types.CallSink): Promise<errors.Result<types.CallEnd>> => {
     executions.set(req.key, (executions.get(req.key) ?? 0) + 1)
@@ -36,145 +36,145 @@
   return { runs, executions, home: { call, start: refuse, finish: refuse, read: refuse } }
 }
 
-function bodyOf (key: string): requests.RequestBody {
+function createCallBody (key: string): requests.RequestBody {
   return { case: 'call', value: protobuf.create(gen.CallRequestSchema, { callJson: new TextEncoder().encode(JSON.stringify({ key })) }) }
 }
 
-interface Asked {
+interface SentRequest {
   readonly key: string
   text: string
-  readonly stop: AbortController
+  readonly abortController: AbortController
   result: errors.Result<types.CallEnd> | undefined
 }
 
-/** What may happen next on the link; `on` picks one of what is there. */
+/** One step on the link; `targetIndex` selects a running call or a sent request. */
 const step = fc.record({
   type: fc.oneof(
     { weight: 20, arbitrary: fc.constantFrom('ask' as const, 'toServer' as const, 'toClient' as const, 'end' as const, 'delta' as const) },
     { weight: 3, arbitrary: fc.constantFrom('restart' as const, 'refuse' as const, 'cancel' as const) },
     { weight: 1, arbitrary: fc.constantFrom('close' as const, 'lose' as const) }
   ),
-  on: fc.nat(7)
+  targetIndex: fc.nat(7)
 })
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never
 
-/** One client and one server whose messages travel when a step says so; a lost link loses what is on its way. */
+/** One client and one server whose messages are delivered by steps; a lost link drops the messages in transit. */
 class Link {
   readonly server = createHome()
-  readonly asked: Asked[] = []
+  readonly sentRequests: SentRequest[] = []
   private readonly client = new requests.ChannelRequests()
-  private readonly session = new sessions.ChannelSession({ sender: () => protobuf.create(gen.SenderSchema, { host: sender.host }), home: this.server.home, upstream: undefined })
-  private lost = false
+  private readonly session = new sessions.ChannelSession({ getSender: () => protobuf.create(gen.SenderSchema, { host: sender.host }), home: this.server.home, upstream: undefined })
+  private isLost = false
 
-  async take ({ type, on }: Step): Promise<void> {
-    const run = this.server.runs[on % Math.max(1, this.server.runs.length)]
+  async applyStep ({ type, targetIndex }: Step): Promise<void> {
+    const run = this.server.runs[targetIndex % Math.max(1, this.server.runs.length)]
     switch (type) {
-      case 'ask': this.ask(`k${this.asked.length}`); break
-      case 'toServer': this.toServer(); break
-      case 'toClient': this.toClient(); break
+      case 'ask': this.sendRequest(`k${this.sentRequests.length}`); break
+      case 'toServer': this.deliverToServer(); break
+      case 'toClient': this.deliverToClient(); break
       case 'delta': run?.sink.onDelta(`${run.key}.`); break
       case 'restart': run?.sink.onPlaced({ upstream: 'e1' as types.UpstreamId, host: 'h1' as types.HostId }); break
       case 'end': run?.end(errors.ok({ key: run.key } as unknown as types.CallEnd)); break
       case 'refuse': run?.end(errors.fail({ tag: 'cancelled', verdict: 'ran', message: run.key })); break
-      case 'cancel': this.asked[on % Math.max(1, this.asked.length)]?.stop.abort(); break
+      case 'cancel': this.sentRequests[targetIndex % Math.max(1, this.sentRequests.length)]?.abortController.abort(); break
       case 'close': this.session.close(); break
-      case 'lose': this.lose(); break
+      case 'lose': this.loseLink(); break
       default: errors.assertNever(type)
     }
-    await turn()
+    await nextEventLoopTurn()
   }
 
-  private ask (key: string): void {
+  private sendRequest (key: string): void {
     if (!this.client.isAccepting) return
-    const asked: Asked = { key, text: '', stop: new AbortController(), result: undefined }
-    this.asked.push(asked)
-    const receiver: requests.Receiver = { onPlaced: () => { asked.text = '' }, onDelta: (text) => { asked.text += text } }
-    void this.client.request<types.CallEnd>(bodyOf(key), receiver, asked.stop.signal).then((result) => { asked.result = result })
+    const sentRequest: SentRequest = { key, text: '', abortController: new AbortController(), result: undefined }
+    this.sentRequests.push(sentRequest)
+    const receiver: requests.AnswerReceiver = { onPlaced: () => { sentRequest.text = '' }, onDelta: (text) => { sentRequest.text += text } }
+    void this.client.request<types.CallEnd>(createCallBody(key), receiver, sentRequest.abortController.signal).then((result) => { sentRequest.result = result })
   }
 
-  private toServer (): void {
-    const frames = this.client.take()
-    if (!this.lost) this.session.receive(protobuf.create(gen.RequestFramesSchema, { frames }))
+  private deliverToServer (): void {
+    const frames = this.client.takeFrames()
+    if (!this.isLost) this.session.receive(protobuf.create(gen.RequestFramesSchema, { frames }))
   }
 
-  private toClient (): void {
-    const message = this.session.take()
-    if (!this.lost) this.client.receive(protobuf.fromBinary(gen.ReplyFramesSchema, protobuf.toBinary(gen.ReplyFramesSchema, message)))
+  private deliverToClient (): void {
+    const message = this.session.takeMessage()
+    if (!this.isLost) this.client.receive(protobuf.fromBinary(gen.ReplyFramesSchema, protobuf.toBinary(gen.ReplyFramesSchema, message)))
   }
 
-  lose (): void {
-    this.lost = true
-    this.session.break()
-    this.client.fail('lost')
+  loseLink (): void {
+    this.isLost = true
+    this.session.abort()
+    this.client.failAll('lost')
   }
 }
 
-function ownAnswer ({ key, text, result }: Asked): boolean {
+function hasOwnAnswer ({ key, text, result }: SentRequest): boolean {
   if (text.split('.').some((piece) => piece !== '' && piece !== key)) return false
   if (result === undefined) return false
   return !result.ok || result.value.key === key
 }
 
-function trueVerdict (executions: ReadonlyMap<string, number>, { key, result }: Asked): boolean {
+function hasTrueVerdict (executions: ReadonlyMap<string, number>, { key, result }: SentRequest): boolean {
   const ran = executions.get(key) ?? 0
   if (ran > 1 || result === undefined) return false
   return result.ok || result.failure.verdict !== 'notRun' || ran === 0
 }
 
-tap.test('every request gets its own answer or a failure with a true verdict', async (t) => {
-  let answered = 0
-  let notRun = 0
+tap.test('every request gets its own answer or a failure with a correct verdict', async (t) => {
+  let answeredCount = 0
+  let notRunCount = 0
   await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 20, maxLength: 60 }), async (steps) => {
     const link = new Link()
-    for (const one of steps) await link.take(one)
-    link.lose()
-    await turn()
-    answered += link.asked.filter(({ result }) => result?.ok === true).length
-    notRun += link.asked.filter(({ result }) => result?.ok === false && result.failure.verdict === 'notRun').length
-    return link.asked.every((asked) => ownAnswer(asked) && trueVerdict(link.server.executions, asked))
+    for (const nextStep of steps) await link.applyStep(nextStep)
+    link.loseLink()
+    await nextEventLoopTurn()
+    answeredCount += link.sentRequests.filter(({ result }) => result?.ok === true).length
+    notRunCount += link.sentRequests.filter(({ result }) => result?.ok === false && result.failure.verdict === 'notRun').length
+    return link.sentRequests.every((sentRequest) => hasOwnAnswer(sentRequest) && hasTrueVerdict(link.server.executions, sentRequest))
   }), { seed: 1, numRuns: 400 })
-  t.ok(answered > 100 && notRun > 100, `${answered} answered, ${notRun} not run`)
+  t.ok(answeredCount > 100 && notRunCount > 100, `${answeredCount} answered, ${notRunCount} not run`)
 })
 
-tap.test('a request that never left is notRun, one that left may have run', async (t) => {
+tap.test('when the stream ends, a queued request is notRun and a sent one mayHaveRun', async (t) => {
   const client = new requests.ChannelRequests()
   const receiver = { onPlaced: () => undefined, onDelta: () => undefined }
-  const left = client.request(bodyOf('k1'), receiver)
-  client.take()
-  const waits = client.request(bodyOf('k2'), receiver)
-  client.fail('lost')
-  t.match(await left, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun' } })
-  t.match(await waits, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
+  const sent = client.request(createCallBody('k1'), receiver)
+  client.takeFrames()
+  const queued = client.request(createCallBody('k2'), receiver)
+  client.failAll('lost')
+  t.match(await sent, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun' } })
+  t.match(await queued, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
 })
 
-tap.test('a server that closes answers what it took, and what came later did not run', async (t) => {
+tap.test('a closing session answers the requests that it accepted and does not run later ones', async (t) => {
   const { home, runs, executions } = createHome()
-  const session = new sessions.ChannelSession({ sender: () => protobuf.create(gen.SenderSchema), home, upstream: undefined })
+  const session = new sessions.ChannelSession({ getSender: () => protobuf.create(gen.SenderSchema), home, upstream: undefined })
   const client = new requests.ChannelRequests()
   const receiver = { onPlaced: () => undefined, onDelta: () => undefined }
-  const first = client.request(bodyOf('k1'), receiver)
-  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: client.take() }))
+  const first = client.request(createCallBody('k1'), receiver)
+  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: client.takeFrames() }))
   session.close()
-  const late = client.request(bodyOf('k2'), receiver)
-  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: client.take() }))
-  client.receive(session.take())
+  const late = client.request(createCallBody('k2'), receiver)
+  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: client.takeFrames() }))
+  client.receive(session.takeMessage())
   t.match(await late, { ok: false, failure: { verdict: 'notRun' } })
   t.notOk(client.isAccepting)
   runs[0]!.end(errors.ok({ key: 'k1' } as unknown as types.CallEnd))
-  await turn()
-  client.receive(session.take())
+  await nextEventLoopTurn()
+  client.receive(session.takeMessage())
   t.match(await first, { ok: true, value: { key: 'k1' } })
   t.same([...executions.keys()], ['k1'])
 })
 
-tap.test('pieces of text of one turn go as one frame, and what waits is bounded', async (t) => {
+tap.test('queued deltas of a request are sent as one frame, and the queue is bounded in bytes', async (t) => {
   const { home, runs } = createHome()
-  const session = new sessions.ChannelSession({ sender: () => protobuf.create(gen.SenderSchema), home, upstream: undefined })
+  const session = new sessions.ChannelSession({ getSender: () => protobuf.create(gen.SenderSchema), home, upstream: undefined })
   const frame = (id: number, body: requests.RequestBody): gen.RequestFrame => protobuf.create(gen.RequestFrameSchema, { id, body })
-  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: [frame(1, bodyOf('a')), frame(2, bodyOf('b'))] }))
+  session.receive(protobuf.create(gen.RequestFramesSchema, { frames: [frame(1, createCallBody('a')), frame(2, createCallBody('b'))] }))
   for (const text of ['x', 'y']) for (const run of runs) run.sink.onDelta(`${run.key}${text}`)
-  t.same(session.take().frames.map(({ id, body }) => [id, body.value]), [[1, 'axay'], [2, 'bxby']])
-  const queue = new frameQueues.FrameQueue<string>({ maxWaitingBytes: 10, sizeOf: (text) => text.length })
+  t.same(session.takeMessage().frames.map(({ id, body }) => [id, body.value]), [[1, 'axay'], [2, 'bxby']])
+  const queue = new frameQueues.FrameQueue<string>({ maxWaitingBytes: 10, estimateBytes: (text) => text.length })
   t.same(['123456', '123456', '1234'].map((text) => queue.push(text)), [true, false, true])
   t.same(queue.take(), ['123456', '1234'])
   t.ok(queue.push('1234567890'))
@@ -182,7 +182,7 @@
 
 interface Teardown { teardown: (run: () => unknown) => void }
 
-/** Carries bytes to a port until it is cut; then the side named gets nothing more, and no connection is closed. */
+/** Forwards bytes to a port until it is cut; then the given side receives nothing more, and connections stay open. */
 async function startCuttableProxy (t: Teardown, toPort: number): Promise<{ port: number, cut: (side: 'toServer' | 'toClient') => void }> {
   const pairs: { inner: net.Socket, outer: net.Socket }[] = []
   const proxy = net.createServer((outer) => {
@@ -200,7 +200,7 @@
   return { port: (proxy.address() as net.AddressInfo).port, cut }
 }
 
-async function connectPeers (t: Teardown, through: (port: number) => Promise<number> = async (port) => port, more: Partial<handlers.HomeHandlers> = {}) {
+async function connectPeers (t: Teardown, resolvePort: (port: number) => Promise<number> = async (port) => port, homeOverrides: Partial<handlers.HomeHandlers> = {}) {
   const { home, runs, executions } = createHome()
   const refuse = async (): Promise<errors.Result<never>> => errors.fail({ tag: 'internal', verdict: 'notRun', message: 'not for this test' })
   const server = await peerServer.startPeerServer({
@@ -208,26 +208,26 @@
     port: 0,
     getSender: () => sender,
     process: { getStatus: refuse, getConfig: refuse, explain: refuse, getLoads: refuse },
-    home: { ...home, ...more, release: refuse, list: refuse }
+    home: { ...home, ...homeOverrides, release: refuse, list: refuse }
   })
   const senders: types.Sender[] = []
-  const broken: errors.Failure[] = []
+  const failures: errors.Failure[] = []
   const client = peerClient.createPeerClient({
-    address: `http://127.0.0.1:${await through(server.port)}`,
+    address: `http://127.0.0.1:${await resolvePort(server.port)}`,
     timeoutMs: 2_000,
     pingIntervalMs: 500,
     pingTimeoutMs: 500,
     onSenderReceived: (one) => senders.push(one),
-    onUnavailable: (failure) => broken.push(failure)
+    onUnavailable: (failure) => failures.push(failure)
   })
   t.teardown(() => { client.close(); return server.close() })
   const call = (key: string, sink: Partial<types.CallSink> = {}): Promise<errors.Result<types.CallEnd>> =>
     client.call({ key } as unknown as types.Call, { traceparent: '' }, { onPlaced: () => undefined, onDelta: () => undefined, ...sink })
-  const started = async (count: number): Promise<void> => { while (runs.length < count) await turn() }
-  return { server, client, runs, executions, senders, broken, call, started }
+  const waitForRuns = async (count: number): Promise<void> => { while (runs.length < count) await nextEventLoopTurn() }
+  return { server, client, runs, executions, senders, broken: failures, call, started: waitForRuns }
 }
 
-tap.test('two requests crossed on one stream get their own answers, and deltas only where wanted', async (t) => {
+tap.test('two concurrent requests on one stream get their own answers, and deltas only if requested', async (t) => {
   const { call, started, runs, senders } = await connectPeers(t)
   const texts = { a: '', b: '' }
   const answers = [call('a', { onDelta: (text) => { texts.a += text } }), call('b', { wholeOnly: true, onDelta: (text) => { texts.b += text } })]
@@ -242,7 +242,7 @@
   t.match(senders.at(-1), sender)
 })
 
-tap.test('a lost connection fails what is under way as mayHaveRun, and the next request is notRun', async (t) => {
+tap.test('a lost connection fails the request in flight as mayHaveRun, and the next request is notRun', async (t) => {
   const { call, started, server, broken, executions } = await connectPeers(t)
   const lost = call('a')
   await started(1)
@@ -253,7 +253,7 @@
   t.equal(broken.length, 2)
 })
 
-tap.test('closing a client fails what is under way, and says nothing of the host', async (t) => {
+tap.test('closing a client fails the request in flight and does not report the peer as unavailable', async (t) => {
   const { client, call, started, broken } = await connectPeers(t)
   const lost = call('a')
   await started(1)
@@ -262,12 +262,12 @@
   t.equal(broken.length, 0)
 })
 
-tap.test('a server that drains cuts no request and then refuses new ones', async (t) => {
+tap.test('a draining server completes the request in flight and refuses new ones', async (t) => {
   const { call, started, server, runs } = await connectPeers(t)
   const running = call('a')
   await started(1)
   const drained = server.drain()
-  await turn()
+  await nextEventLoopTurn()
   const late = call('b')
   runs[0]!.end(errors.ok({ key: 'a' } as unknown as types.CallEnd))
   t.match(await running, { ok: true, value: { key: 'a' } })
@@ -277,7 +277,7 @@
 })
 
 for (const side of ['toServer', 'toClient'] as const) {
-  tap.test(`a peer that hears or says nothing more is given up: ${side}`, async (t) => {
+  tap.test(`a connection on which one direction is silent fails the request and is reported as unavailable: ${side}`, async (t) => {
     let cut: (side: 'toServer' | 'toClient') => void = () => undefined
     const { call, started, broken } = await connectPeers(t, async (port) => {
       const proxy = await startCuttableProxy(t, port)
@@ -292,7 +292,7 @@
   })
 }
 
-tap.test('short requests have their answers on the stream too, or fail in time', async (t) => {
+tap.test('requests with a timeout are answered on the stream, or fail when it expires', async (t) => {
   const read: handlers.HomeHandlers['read'] = (program, history) => program === 'never' ? new Promise(() => undefined) : Promise.resolve(errors.ok({ program, history } as unknown as types.ProgramDocument))
   const { client, broken } = await connectPeers(t, async (port) => port, { read })
   t.match(await client.read('p1' as types.ProgramId, true), { ok: true, value: { program: 'p1', history: true } })
@@ -302,26 +302,26 @@
   t.equal(broken.length, 1)
 })
 
-// Guards against requests that wait for the caller's whole time: a stream that a peer does not open was kept for all later ones.
-tap.test('a peer that does not open the stream in time is given up, and nothing ran', async (t) => {
-  const way = net.createServer((socket) => {
+// Guards against requests that wait until the caller's deadline: a stream that the peer never opened was reused for all later requests.
+tap.test('a peer that does not open the stream within the timeout is reported as unavailable, and the request is notRun', async (t) => {
+  const silentServer = net.createServer((socket) => {
     socket.on('error', () => undefined)
     socket.resume()
   })
-  await new Promise<void>((resolve) => { way.listen(0, '127.0.0.1', resolve) })
-  const broken: errors.Failure[] = []
+  await new Promise<void>((resolve) => { silentServer.listen(0, '127.0.0.1', resolve) })
+  const failures: errors.Failure[] = []
   const client = peerClient.createPeerClient({
-    address: `http://127.0.0.1:${(way.address() as net.AddressInfo).port}`,
+    address: `http://127.0.0.1:${(silentServer.address() as net.AddressInfo).port}`,
     timeoutMs: 200,
     pingIntervalMs: 60_000,
     pingTimeoutMs: 60_000,
     onSenderReceived: () => undefined,
-    onUnavailable: (failure) => broken.push(failure)
+    onUnavailable: (failure) => failures.push(failure)
   })
-  t.teardown(() => { client.close(); way.close() })
+  t.teardown(() => { client.close(); silentServer.close() })
   const receiver: types.CallSink = { onPlaced: () => undefined, onDelta: () => undefined }
-  const limit = new Promise<string>((resolve) => { setTimeout(resolve, 2_000, 'late').unref() })
-  t.match(await Promise.race([client.call({ key: 'a' } as unknown as types.Call, { traceparent: '' }, receiver), limit]), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
-  while (broken.length < 1) await turn()
-  t.equal(broken.length, 1)
+  const timeout = new Promise<string>((resolve) => { setTimeout(resolve, 2_000, 'late').unref() })
+  t.match(await Promise.race([client.call({ key: 'a' } as unknown as types.Call, { traceparent: '' }, receiver), timeout]), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
+  while (failures.length < 1) await nextEventLoopTurn()
+  t.equal(failures.length, 1)
 })
--- a/packages/peers/sidecar-client/src/convert.ts
+++ b/packages/peers/sidecar-client/src/convert.ts
@@ -1,4 +1,4 @@
-/** Between the messages on the wire and the types of this repository. */
+/** Converts between protobuf messages and the types of the types package. */
 import * as protobuf from '@bufbuild/protobuf'
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
@@ -7,11 +7,12 @@
 const encoder = new TextEncoder()
 const decoder = new TextDecoder()
 
+/** Encodes a value as JSON in UTF-8. */
 export function toJson (value: unknown): Uint8Array {
   return encoder.encode(JSON.stringify(value))
 }
 
-/** Peers run the same release, so the shape is trusted; a text that is no JSON throws. */
+/** Decodes JSON without validation, since all peers run the same release. Throws a SyntaxError for invalid JSON. */
 export function fromJson<T> (bytes: Uint8Array): T {
   return JSON.parse(decoder.decode(bytes)) as T
 }
@@ -69,7 +70,7 @@
     key: req.key as types.RequestKey,
     term: Number(req.term) as types.Term,
     upstream: req.upstream as types.UpstreamId,
-    intent: req.idempotent ? null : intentOf(req),
+    intent: req.idempotent ? null : toDispatchIntent(req),
     timeoutMs: req.timeoutMs,
     queue: {
       deadline: req.deadlineMs as types.EpochMs,
@@ -82,7 +83,7 @@
   }
 }
 
-function intentOf (req: gen.DispatchRequest): types.DispatchIntent {
+function toDispatchIntent (req: gen.DispatchRequest): types.DispatchIntent {
   return {
     position: Number(req.intent) as types.Term,
     at: req.intentAtMs as types.EpochMs,
@@ -90,13 +91,13 @@
   }
 }
 
-/** The result of a reply that carries either a JSON document or a failure. */
+/** Converts a reply that holds either a JSON document or a failure; one with neither becomes answerBroken. */
 export function fromReply<T> (result: { case: string | undefined, value?: unknown }): errors.Result<T> {
   if (result.case === 'failure') return errors.fail(fromFailureMessage(result.value as gen.FailureMessage))
-  if (result.case === undefined) return errors.fail(brokenReply())
+  if (result.case === undefined) return errors.fail(createBrokenReplyFailure())
   return errors.ok(fromJson<T>(result.value as Uint8Array))
 }
 
-export function brokenReply (): errors.Failure {
-  return { tag: 'answerBroken', verdict: 'mayHaveRun', message: 'the peer ended its answer early', detail: 'no closing piece' }
+export function createBrokenReplyFailure (): errors.Failure {
+  return { tag: 'answerBroken', verdict: 'mayHaveRun', message: 'peer sent an incomplete reply', detail: 'reply has no result' }
 }
--- a/packages/peers/sidecar-client/src/frame-queue.ts
+++ b/packages/peers/sidecar-client/src/frame-queue.ts
@@ -1,43 +1,44 @@
-/** Frames that wait to go out on a stream; those of one turn of the event loop go as one message. */
+/** Send queue of a stream. Batches the frames of one turn of the event loop into one message. */
 
 export interface FrameQueueSettings<Frame> {
-  /** Bytes that may wait at once; bounds what a reader that is slow or gone can cost. */
+  /** Maximum total size of the queued frames in bytes; bounds the memory that a slow or lost reader can cost. */
   readonly maxWaitingBytes: number
-  readonly sizeOf: (frame: Frame) => number
+  readonly estimateBytes: (frame: Frame) => number
 }
 
+/** First-in, first-out queue with a bound in bytes and one reader. */
 export class FrameQueue<Frame> {
   private frames: Frame[] = []
   private waitingBytes = 0
-  private ended = false
-  private flushing = false
-  private wake: (() => void) | undefined
+  private isEnded = false
+  private isFlushScheduled = false
+  private wakeReader: (() => void) | undefined
 
   constructor (private readonly settings: FrameQueueSettings<Frame>) {}
 
-  /** False, and nothing is queued, where the frame would exceed the bound. */
+  /** Queues a frame. Returns false and queues nothing if the frame would exceed the bound. */
   push (frame: Frame): boolean {
-    const bytes = this.settings.sizeOf(frame)
+    const bytes = this.settings.estimateBytes(frame)
     if (this.waitingBytes + bytes > this.settings.maxWaitingBytes) return false
     this.frames.push(frame)
     this.waitingBytes += bytes
-    this.flushSoon()
+    this.scheduleFlush()
     return true
   }
 
-  /** Counts bytes by which a frame that waits has grown; false where they exceed the bound. */
-  grow (bytes: number): boolean {
+  /** Accounts for bytes added to a queued frame. Returns false if they exceed the bound. */
+  addWaitingBytes (bytes: number): boolean {
     this.waitingBytes += bytes
     return this.waitingBytes <= this.settings.maxWaitingBytes
   }
 
-  /** Takes back the frames that match and have not left. */
+  /** Removes the queued frames that match. */
   remove (matches: (frame: Frame) => boolean): void {
     this.frames = this.frames.filter((frame) => !matches(frame))
-    this.waitingBytes = this.frames.reduce((sum, frame) => sum + this.settings.sizeOf(frame), 0)
+    this.waitingBytes = this.frames.reduce((sum, frame) => sum + this.settings.estimateBytes(frame), 0)
   }
 
-  /** All that wait, which leave the queue by this. */
+  /** Removes and returns all queued frames. */
   take (): Frame[] {
     const taken = this.frames
     this.frames = []
@@ -45,28 +46,28 @@
     return taken
   }
 
-  /** Ends the iteration once what waits has been taken. */
+  /** Ends the iteration of takeBatches after the queued frames are taken. */
   end (): void {
-    this.ended = true
-    this.flushSoon()
+    this.isEnded = true
+    this.scheduleFlush()
   }
 
-  /** Batches in the order of their frames, each of at least one. */
-  async * batches (): AsyncGenerator<Frame[]> {
+  /** Yields batches of at least one frame, in the order in which they were queued, until the queue ends. */
+  async * takeBatches (): AsyncGenerator<Frame[]> {
     for (;;) {
       if (this.frames.length > 0) yield this.take()
-      else if (this.ended) return
-      else await new Promise<void>((resolve) => { this.wake = resolve })
+      else if (this.isEnded) return
+      else await new Promise<void>((resolve) => { this.wakeReader = resolve })
     }
   }
 
-  private flushSoon (): void {
-    if (this.flushing || this.wake === undefined) return
-    this.flushing = true
+  private scheduleFlush (): void {
+    if (this.isFlushScheduled || this.wakeReader === undefined) return
+    this.isFlushScheduled = true
     setImmediate(() => {
-      this.flushing = false
-      this.wake?.()
-      this.wake = undefined
+      this.isFlushScheduled = false
+      this.wakeReader?.()
+      this.wakeReader = undefined
     })
   }
 }
--- a/packages/peers/sidecar-client/src/index.ts
+++ b/packages/peers/sidecar-client/src/index.ts
@@ -1,4 +1,4 @@
-/** The protocol between the system's own processes, by connect-es. */
+/** RPC protocol between the processes of the system, on connect-es. */
 export * from './handlers.js'
 export * from './peer-client.js'
 export * from './peer-pool.js'
--- a/packages/peers/sidecar-client/src/peer-client.ts
+++ b/packages/peers/sidecar-client/src/peer-client.ts
@@ -1,4 +1,4 @@
-/** Client of one other process. */
+/** RPC client for one peer. */
 import * as protobuf from '@bufbuild/protobuf'
 import * as errors from '@eelgrasswind/errors'
 import * as timerService from '@eelgrasswind/timer-service'
@@ -15,34 +15,36 @@
 export interface PeerClientSettings {
   /** Address of the peer, as `http://ip:port`. */
   readonly address: string
-  /** Limit for requests that have no time limit of their own, in milliseconds. */
+  /** Timeout of requests that have none of their own, in milliseconds. */
   readonly timeoutMs: number
-  /** An open request on a connection silent for this long is checked by a ping, in milliseconds. */
+  /** Time without received data after which a connection with open requests is checked by a ping, in milliseconds. */
   readonly pingIntervalMs: number
-  /** A ping unanswered for this long ends the connection, in milliseconds. */
+  /** Timeout of a ping, in milliseconds; the connection is closed after it. */
   readonly pingTimeoutMs: number
-  /** The process clock where left out. */
+  /** The real clock by default. */
   readonly timers?: timerService.TimerService
+  /** Called with the sender of each reply, which serves as a heartbeat of the peer. */
   readonly onSenderReceived: (sender: types.Sender) => void
-  /** Called when the peer could not be reached or its connection broke. */
+  /** Called when the peer could not be reached or its connection failed. */
   readonly onUnavailable: (failure: errors.Failure) => void
 }
 
-export interface PeerClient extends handlers.Peer {
+export interface PeerClient extends handlers.SidecarHandlers {
+  /** Closes the connection; requests in flight fail. A stream that ends by this is not reported as unavailable. */
   close: () => void
 }
 
-/** An idle session stays open for this long, in milliseconds. */
+/** Idle timeout of the HTTP/2 session, in milliseconds. */
 const idleSessionMs = 10 * 60_000
 
 /**
- * A connection that has just failed a ping has its error event still to come, and Http2SessionManager.abort takes off
- * the listener for it, which would end this process. The event comes within a turn or two of the event loop.
- * In milliseconds.
+ * Delay of the abort on close, in milliseconds. A connection that has just failed a ping emits its error event within
+ * one or two turns of the event loop. Http2SessionManager.abort removes the listener for that event, and an unhandled
+ * error event would end this process.
  */
 const abortDelayMs = 50
 
-type Reply = { result: { case: string | undefined, value?: unknown }, sender?: gen.Sender | undefined }
+type ResultReply = { result: { case: string | undefined, value?: unknown }, sender?: gen.Sender | undefined }
 
 export function createPeerClient (settings: PeerClientSettings): PeerClient {
   const session = new sessionManager.SessionManager(settings.address, {
@@ -60,37 +62,37 @@
   const upstream = connect.createClient(gen.UpstreamService, transport)
   const peer = connect.createClient(gen.PeerService, transport)
   const timers = settings.timers ?? timerService.createRealTimers()
-  const channel = new channels.ChannelClient({ transport, timers, openTimeoutMs: settings.timeoutMs, noteSender, onBroken: settings.onUnavailable })
-  const short = { timeoutMs: settings.timeoutMs }
+  const channel = new channels.ChannelClient({ transport, timers, openTimeoutMs: settings.timeoutMs, onSenderReceived: reportSender, onUnavailable: settings.onUnavailable })
+  const unaryOptions = { timeoutMs: settings.timeoutMs }
 
-  function noteSender (sender: gen.Sender | undefined): void {
+  function reportSender (sender: gen.Sender | undefined): void {
     if (sender !== undefined) settings.onSenderReceived(convert.fromSender(sender))
   }
 
-  function broken<T> (err: unknown): errors.Result<T> {
-    const failure = transportFailures.transportFailure(err)
+  function toFailedResult<T> (err: unknown): errors.Result<T> {
+    const failure = transportFailures.toTransportFailure(err)
     if (failure.tag === 'peerUnavailable') settings.onUnavailable(failure)
     return errors.fail(failure)
   }
 
-  async function ask<T> (send: () => Promise<Reply>): Promise<errors.Result<T>> {
+  async function requestResult<T> (send: () => Promise<ResultReply>): Promise<errors.Result<T>> {
     try {
       const reply = await send()
-      noteSender(reply.sender)
+      reportSender(reply.sender)
       return convert.fromReply<T>(reply.result)
     } catch (err) {
-      return broken(err)
+      return toFailedResult(err)
     }
   }
 
-  /** For replies that carry their document beside the sender, not in a union. */
-  async function askDocument<R extends { sender?: gen.Sender | undefined }, T> (send: () => Promise<R>, read: (reply: R) => T): Promise<errors.Result<T>> {
+  /** For replies that have their document in a field of its own, not in a union with a failure. */
+  async function requestDocument<R extends { sender?: gen.Sender | undefined }, T> (send: () => Promise<R>, parseReply: (reply: R) => T): Promise<errors.Result<T>> {
     try {
       const reply = await send()
-      noteSender(reply.sender)
-      return errors.ok(read(reply))
+      reportSender(reply.sender)
+      return errors.ok(parseReply(reply))
     } catch (err) {
-      return broken(err)
+      return toFailedResult(err)
     }
   }
 
@@ -105,24 +107,24 @@
   }
 
   return {
-    start: (start, ctx) => channel.ask({ case: 'start', value: protobuf.create(gen.StartRequestSchema, { startJson: convert.toJson(start), traceparent: ctx.traceparent }) }, settings.timeoutMs),
+    start: (start, ctx) => channel.requestWithTimeout({ case: 'start', value: protobuf.create(gen.StartRequestSchema, { startJson: convert.toJson(start), traceparent: ctx.traceparent }) }, settings.timeoutMs),
     call,
-    finish: (program, result, ctx) => channel.ask({ case: 'finish', value: protobuf.create(gen.FinishRequestSchema, { program, result, traceparent: ctx.traceparent }) }, settings.timeoutMs),
-    read: (program, history) => channel.ask({ case: 'read', value: protobuf.create(gen.ReadRequestSchema, { program, history }) }, settings.timeoutMs),
-    release: (program, askedBy) => askDocument(() => home.release({ program, askedBy }, short), (reply) => reply.released),
-    list: (limit) => askDocument(() => home.list({ limit }, short), (reply) => convert.fromJson(reply.programsJson)),
+    finish: (program, result, ctx) => channel.requestWithTimeout({ case: 'finish', value: protobuf.create(gen.FinishRequestSchema, { program, result, traceparent: ctx.traceparent }) }, settings.timeoutMs),
+    read: (program, history) => channel.requestWithTimeout({ case: 'read', value: protobuf.create(gen.ReadRequestSchema, { program, history }) }, settings.timeoutMs),
+    release: (program, askedBy) => requestDocument(() => home.release({ program, askedBy }, unaryOptions), (reply) => reply.released),
+    list: (limit) => requestDocument(() => home.list({ limit }, unaryOptions), (reply) => convert.fromJson(reply.programsJson)),
     dispatch,
-    seal: (seal) => ask(() => upstream.seal({ ...seal, intent: BigInt(seal.intent), intentAtMs: seal.intentAt }, short)),
-    hold: (program, term, upstreamId, holdMs) => channel.ask({ case: 'hold', value: protobuf.create(gen.HoldRequestSchema, { program, term: BigInt(term), upstream: upstreamId, holdMs }) }, settings.timeoutMs),
-    drop: (program, term, upstreamId) => channel.ask({ case: 'drop', value: protobuf.create(gen.DropRequestSchema, { program, term: BigInt(term), upstream: upstreamId }) }, settings.timeoutMs),
-    getStatus: () => askDocument(() => peer.status({}, short), (reply) => convert.fromJson(reply.statusJson)),
-    getConfig: (have) => askDocument(() => peer.getConfig({ haveVersion: BigInt(have) }, short), (reply) => {
+    seal: (seal) => requestResult(() => upstream.seal({ ...seal, intent: BigInt(seal.intent), intentAtMs: seal.intentAt }, unaryOptions)),
+    hold: (program, term, upstreamId, holdMs) => channel.requestWithTimeout({ case: 'hold', value: protobuf.create(gen.HoldRequestSchema, { program, term: BigInt(term), upstream: upstreamId, holdMs }) }, settings.timeoutMs),
+    drop: (program, term, upstreamId) => channel.requestWithTimeout({ case: 'drop', value: protobuf.create(gen.DropRequestSchema, { program, term: BigInt(term), upstream: upstreamId }) }, settings.timeoutMs),
+    getStatus: () => requestDocument(() => peer.status({}, unaryOptions), (reply) => convert.fromJson(reply.statusJson)),
+    getConfig: (haveVersion) => requestDocument(() => peer.getConfig({ haveVersion: BigInt(haveVersion) }, unaryOptions), (reply) => {
       if (reply.configJson.length === 0) return null
       return { version: Number(reply.version) as types.ConfigVersion, config: convert.fromJson(reply.configJson) }
     }),
-    explain: (program, key) => askDocument(() => peer.explain({ program, key: key ?? '' }, short), (reply) => convert.fromJson(reply.explainJson)),
-    borrowShare: (wish) => ask(() => peer.borrowShare({ ...wish }, short)),
-    getLoads: () => askDocument(() => peer.getLoads({}, short), (reply) => convert.fromJson(reply.loadsJson)),
+    explain: (program, key) => requestDocument(() => peer.explain({ program, key: key ?? '' }, unaryOptions), (reply) => convert.fromJson(reply.explainJson)),
+    borrowShare: (request) => requestResult(() => peer.borrowShare({ ...request }, unaryOptions)),
+    getLoads: () => requestDocument(() => peer.getLoads({}, unaryOptions), (reply) => convert.fromJson(reply.loadsJson)),
     close () {
       channel.close()
       timers.after(abortDelayMs, () => session.abort())
--- a/packages/peers/sidecar-client/src/peer-pool.ts
+++ b/packages/peers/sidecar-client/src/peer-pool.ts
@@ -1,8 +1,9 @@
-/** One client, and so one long-lived session, for each process this one talks to. */
+/** Pool of peer clients: one client, and so one long-lived HTTP/2 session, for each host. */
 import type * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 import * as clients from './peer-client.js'
 
+/** Settings of the pool's clients; see PeerClientSettings. */
 export interface PeerPoolSettings {
   readonly timeoutMs: number
   readonly pingIntervalMs: number
@@ -12,22 +13,23 @@
 }
 
 export interface PeerPool {
-  /** The client for a host at an address; a host that came back elsewhere gets a new one. */
+  /** The client for a host; a host whose address changed gets a new client, and its old one is closed. */
   get: (host: types.HostId, address: string) => clients.PeerClient
-  /** Ends the sessions of hosts that are not in the set. */
+  /** Closes the clients of hosts that are not in the set. */
   retain: (hosts: ReadonlySet<types.HostId>) => void
+  /** Closes all clients. */
   close: () => void
 }
 
-interface Entry {
+interface PoolEntry {
   readonly address: string
   readonly client: clients.PeerClient
 }
 
 export function createPeerPool (settings: PeerPoolSettings): PeerPool {
-  const entries = new Map<types.HostId, Entry>()
+  const entries = new Map<types.HostId, PoolEntry>()
 
-  function open (host: types.HostId, address: string): clients.PeerClient {
+  function openClient (host: types.HostId, address: string): clients.PeerClient {
     const client = clients.createPeerClient({
       address,
       timeoutMs: settings.timeoutMs,
@@ -44,7 +46,7 @@
     const entry = entries.get(host)
     if (entry?.address === address) return entry.client
     entry?.client.close()
-    return open(host, address)
+    return openClient(host, address)
   }
 
   function retain (hosts: ReadonlySet<types.HostId>): void {
--- a/packages/peers/sidecar-client/src/peer-server.ts
+++ b/packages/peers/sidecar-client/src/peer-server.ts
@@ -1,4 +1,4 @@
-/** Server side of the protocol between processes: HTTP/2 without TLS on a given port. */
+/** RPC server for peers: HTTP/2 without TLS. */
 import * as http2 from 'node:http2'
 import type * as net from 'node:net'
 import type * as connect from '@connectrpc/connect'
@@ -11,13 +11,13 @@
 import type * as handlers from './handlers.js'
 
 export interface PeerServerSettings {
-  /** Address to listen on; port 0 takes a free one. */
+  /** Address to listen on; port 0 selects a free port. */
   readonly bindAddress: string
   readonly port: number
-  /** What this process says of itself with every answer. */
+  /** Current identity and state of this process, sent with every answer as a heartbeat. */
   readonly getSender: () => types.Sender
   readonly process: handlers.ProcessHandlers
-  /** Only sidecars have these. */
+  /** Home, upstream and limit handlers exist in sidecars only. */
   readonly home?: handlers.HomeHandlers
   readonly upstream?: handlers.UpstreamHandlers
   readonly limits?: handlers.LimitHandlers
@@ -25,27 +25,27 @@
 
 export interface PeerServer {
   readonly port: number
-  /** Takes no new requests, and resolves when those under way have ended. */
+  /** Accepts no new requests, and resolves when those in flight have ended. */
   drain: () => Promise<void>
-  /** Ends every session at once. */
+  /** Closes all sessions at once; requests in flight fail. */
   close: () => Promise<void>
 }
 
 type ReplyResult<Case extends string> = { case: Case, value: Uint8Array } | { case: 'failure', value: gen.FailureMessage }
 
-function reply<Case extends string> (name: Case, result: errors.Result<unknown>): ReplyResult<Case> {
-  if (result.ok) return { case: name, value: convert.toJson(result.value) }
+function toReplyResult<Case extends string> (resultCase: Case, result: errors.Result<unknown>): ReplyResult<Case> {
+  if (result.ok) return { case: resultCase, value: convert.toJson(result.value) }
   return { case: 'failure', value: convert.toFailureMessage(result.failure) }
 }
 
-/** The failure of an answer that carries none on the wire becomes an RPC error. */
-function valueOf<T> (result: errors.Result<T>): T {
+/** Throws the failure as an RPC error, for replies whose message has no field for a failure. */
+function unwrapResult<T> (result: errors.Result<T>): T {
   if (result.ok) return result.value
   throw new errors.FailureError(result.failure)
 }
 
-/** A handler that throws must still answer with a failure that has a verdict. */
-async function guarded<T> (run: () => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
+/** Converts an exception of a handler to a failure, so that the answer always has a verdict. */
+async function catchFailure<T> (run: () => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
   try {
     return await run()
   } catch (err) {
@@ -53,23 +53,23 @@
   }
 }
 
-function homeRoutes (router: connect.ConnectRouter, home: handlers.HomeHandlers, sender: () => gen.Sender): void {
+function registerHomeRoutes (router: connect.ConnectRouter, home: handlers.HomeHandlers, getSender: () => gen.Sender): void {
   router.service(gen.HomeService, {
     async release (req) {
       const released = await home.release(req.program as types.ProgramId, req.askedBy as types.HostId)
-      return { released: valueOf(released), sender: sender() }
+      return { released: unwrapResult(released), sender: getSender() }
     },
     async list (req) {
       const programs = await home.list(req.limit)
-      return { programsJson: convert.toJson(valueOf(programs)), sender: sender() }
+      return { programsJson: convert.toJson(unwrapResult(programs)), sender: getSender() }
     }
   })
 }
 
-function upstreamRoutes (router: connect.ConnectRouter, upstream: handlers.UpstreamHandlers, sender: () => gen.Sender): void {
+function registerUpstreamRoutes (router: connect.ConnectRouter, upstream: handlers.UpstreamHandlers, getSender: () => gen.Sender): void {
   router.service(gen.UpstreamService, {
     async seal (req) {
-      const result = await guarded(() => upstream.seal({
+      const result = await catchFailure(() => upstream.seal({
         program: req.program as types.ProgramId,
         key: req.key as types.RequestKey,
         upstream: req.upstream as types.UpstreamId,
@@ -77,55 +77,55 @@
         intentAt: req.intentAtMs as types.EpochMs,
         incarnation: req.incarnation as types.Incarnation
       }))
-      return { result: reply('stateJson', result), sender: sender() }
+      return { result: toReplyResult('stateJson', result), sender: getSender() }
     }
   })
 }
 
-function processRoutes (router: connect.ConnectRouter, own: handlers.ProcessHandlers, limits: handlers.LimitHandlers | undefined, sender: () => gen.Sender): void {
+function registerProcessRoutes (router: connect.ConnectRouter, processHandlers: handlers.ProcessHandlers, limits: handlers.LimitHandlers | undefined, getSender: () => gen.Sender): void {
   router.service(gen.PeerService, {
     async status () {
-      return { statusJson: convert.toJson(valueOf(await own.getStatus())), sender: sender() }
+      return { statusJson: convert.toJson(unwrapResult(await processHandlers.getStatus())), sender: getSender() }
     },
     async getConfig (req) {
-      const newer = valueOf(await own.getConfig(Number(req.haveVersion) as types.ConfigVersion))
-      if (newer === null) return { sender: sender() }
-      return { version: BigInt(newer.version), configJson: convert.toJson(newer.config), sender: sender() }
+      const newerConfig = unwrapResult(await processHandlers.getConfig(Number(req.haveVersion) as types.ConfigVersion))
+      if (newerConfig === null) return { sender: getSender() }
+      return { version: BigInt(newerConfig.version), configJson: convert.toJson(newerConfig.config), sender: getSender() }
     },
     async explain (req) {
       const key = req.key === '' ? null : req.key as types.RequestKey
-      return { explainJson: convert.toJson(valueOf(await own.explain(req.program as types.ProgramId, key))), sender: sender() }
+      return { explainJson: convert.toJson(unwrapResult(await processHandlers.explain(req.program as types.ProgramId, key))), sender: getSender() }
     },
     async borrowShare (req) {
-      const wish: types.ShareRequest = {
+      const shareRequest: types.ShareRequest = {
         client: req.client as types.ClientId,
         limit: req.limit as types.LimitName,
         holder: req.holder as types.HostId,
         wantedPerSecond: req.wantedPerSecond,
         wantedCredit: req.wantedCredit
       }
-      const result = limits === undefined ? errors.fail(ownsNoLimit) : await guarded(() => limits.borrowShare(wish))
-      return { result: reply('grantJson', result), sender: sender() }
+      const result = limits === undefined ? errors.fail(ownsNoLimitFailure) : await catchFailure(() => limits.borrowShare(shareRequest))
+      return { result: toReplyResult('grantJson', result), sender: getSender() }
     },
     async getLoads () {
-      return { loadsJson: convert.toJson(valueOf(await own.getLoads())), sender: sender() }
+      return { loadsJson: convert.toJson(unwrapResult(await processHandlers.getLoads())), sender: getSender() }
     }
   })
 }
 
-/** Follows the sessions of channels, so that they can be closed. */
-function channelRoutes (router: connect.ConnectRouter, settings: PeerServerSettings, sender: () => gen.Sender, open: Set<channelSessions.ChannelSession>): void {
+/** Adds the channel service. Open sessions are kept in the set, so that they can be closed. */
+function registerChannelRoutes (router: connect.ConnectRouter, settings: PeerServerSettings, getSender: () => gen.Sender, openSessions: Set<channelSessions.ChannelSession>): void {
   router.service(gen.ChannelService, {
     async * open (requests, context) {
-      const session = new channelSessions.ChannelSession({ sender, home: settings.home, upstream: settings.upstream })
-      open.add(session)
-      context.signal.addEventListener('abort', () => session.break())
+      const session = new channelSessions.ChannelSession({ getSender, home: settings.home, upstream: settings.upstream })
+      openSessions.add(session)
+      context.signal.addEventListener('abort', () => session.abort())
       void readRequests(requests, session)
       try {
-        yield * session.messages()
+        yield * session.generateMessages()
       } finally {
-        open.delete(session)
-        session.break()
+        openSessions.delete(session)
+        session.abort()
       }
     }
   })
@@ -136,13 +136,13 @@
     for await (const message of requests) session.receive(message)
     session.close()
   } catch {
-    session.break()
+    session.abort()
   }
 }
 
-const ownsNoLimit: errors.Failure = { tag: 'unknownTarget', verdict: 'notRun', message: 'an entry owns no limits', field: 'client' }
+const ownsNoLimitFailure: errors.Failure = { tag: 'unknownTarget', verdict: 'notRun', message: 'this process does not own client limits', field: 'client' }
 
-/** Follows the sessions of a server so that it can end them. */
+/** Tracks the open HTTP/2 sessions of a server, so that they can be closed. */
 function trackSessions (server: http2.Http2Server): Set<http2.ServerHttp2Session> {
   const sessions = new Set<http2.ServerHttp2Session>()
   server.on('session', (session) => {
@@ -152,16 +152,17 @@
   return sessions
 }
 
+/** Starts listening; rejects if the address cannot be bound. */
 export async function startPeerServer (settings: PeerServerSettings): Promise<PeerServer> {
-  const sender = (): gen.Sender => convert.toSender(settings.getSender())
-  const channels = new Set<channelSessions.ChannelSession>()
+  const getSender = (): gen.Sender => convert.toSender(settings.getSender())
+  const activeChannels = new Set<channelSessions.ChannelSession>()
   const handler = connectNode.connectNodeAdapter({
     acceptCompression: [],
     routes (router) {
-      channelRoutes(router, settings, sender, channels)
-      processRoutes(router, settings.process, settings.limits, sender)
-      if (settings.home !== undefined) homeRoutes(router, settings.home, sender)
-      if (settings.upstream !== undefined) upstreamRoutes(router, settings.upstream, sender)
+      registerChannelRoutes(router, settings, getSender, activeChannels)
+      registerProcessRoutes(router, settings.process, settings.limits, getSender)
+      if (settings.home !== undefined) registerHomeRoutes(router, settings.home, getSender)
+      if (settings.upstream !== undefined) registerUpstreamRoutes(router, settings.upstream, getSender)
     }
   })
   const server = http2.createServer(handler)
@@ -173,7 +174,7 @@
 
   async function drain (): Promise<void> {
     const closed = new Promise<void>((resolve) => { server.close(() => resolve()) })
-    for (const channel of channels) channel.close()
+    for (const channel of activeChannels) channel.close()
     for (const session of sessions) session.close()
     await closed
   }
--- a/packages/peers/sidecar-client/src/session-manager.test.ts
+++ b/packages/peers/sidecar-client/src/session-manager.test.ts
@@ -5,22 +5,22 @@
 
 const pingIntervalMs = 50
 const pingTimeoutMs = 2_000
-const boundMs = 6_000
+const responseTimeoutMs = 6_000
 
-interface Way {
+interface Proxy {
   readonly port: number
-  /** Passes nothing on any more; connections stay open. */
-  hold: () => void
-  /** Ends the connections as a process does that exits; new ones are passed on. */
-  end: (how: 'end' | 'reset') => void
+  /** Stops forwarding; connections stay open. */
+  stopForwarding: () => void
+  /** Closes the connections like a process that exits; new connections are forwarded. */
+  endConnections: (ending: 'end' | 'reset') => void
   close: () => void
 }
 
-/** A way to a server that can be held up and ended. */
-async function startWay (target: number): Promise<Way> {
+/** TCP proxy to a local port whose connections can be stalled and closed. */
+async function startProxy (targetPort: number): Promise<Proxy> {
   const pairs = new Set<readonly [net.Socket, net.Socket]>()
   const server = net.createServer((client) => {
-    const upstream = net.connect(target, '127.0.0.1')
+    const upstream = net.connect(targetPort, '127.0.0.1')
     pairs.add([client, upstream])
     for (const socket of [client, upstream]) socket.on('error', () => {})
     client.pipe(upstream)
@@ -29,17 +29,17 @@
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   return {
     port: (server.address() as net.AddressInfo).port,
-    hold () {
+    stopForwarding () {
       for (const [client, upstream] of pairs) {
         client.unpipe(upstream)
         upstream.unpipe(client)
         client.resume()
       }
     },
-    end (how) {
+    endConnections (ending) {
       for (const [client, upstream] of pairs) {
         upstream.destroy()
-        if (how === 'end') client.end()
+        if (ending === 'end') client.end()
         else client.resetAndDestroy()
       }
       pairs.clear()
@@ -68,9 +68,9 @@
   }
 }
 
-/** Status of one request, or how it failed; `late` where nothing came within the bound. */
-async function ask (sessions: sessionManager.SessionManager): Promise<string> {
-  const answered = new Promise<string>((resolve) => {
+/** Status of one request, `failed`, or `late` without a result within the timeout. */
+async function sendRequest (sessions: sessionManager.SessionManager): Promise<string> {
+  const outcome = new Promise<string>((resolve) => {
     sessions.request('GET', '/', {}, {}).then((stream) => {
       stream.on('response', (headers) => { resolve(String(headers[':status'])) })
       stream.on('error', () => { resolve('failed') })
@@ -80,27 +80,27 @@
     }, () => { resolve('failed') })
   })
   let timer: NodeJS.Timeout | undefined
-  const late = new Promise<string>((resolve) => { timer = setTimeout(resolve, boundMs, 'late') })
-  const result = await Promise.race([answered, late])
+  const timedOut = new Promise<string>((resolve) => { timer = setTimeout(resolve, responseTimeoutMs, 'late') })
+  const result = await Promise.race([outcome, timedOut])
   clearTimeout(timer)
   return result
 }
 
-// Guards against a peer that is never asked again: the check of a silent connection that was closed did not end.
-for (const how of ['end', 'reset'] as const) {
-  tap.test(`a connection whose other side goes by ${how} while it is checked is given up`, async (t) => {
+// Guards against a peer that gets no further requests: the ping check of an idle connection never completed if the connection was closed meanwhile.
+for (const ending of ['end', 'reset'] as const) {
+  tap.test(`a connection that the peer closes by ${ending} during a ping check is replaced`, async (t) => {
     const server = await startServer()
-    const way = await startWay(server.port)
-    const sessions = new sessionManager.SessionManager(`http://127.0.0.1:${way.port}`, { pingIntervalMs, pingTimeoutMs })
-    t.teardown(() => { sessions.abort(); way.close(); server.close() })
-    t.equal(await ask(sessions), '200')
+    const proxy = await startProxy(server.port)
+    const sessions = new sessionManager.SessionManager(`http://127.0.0.1:${proxy.port}`, { pingIntervalMs, pingTimeoutMs })
+    t.teardown(() => { sessions.abort(); proxy.close(); server.close() })
+    t.equal(await sendRequest(sessions), '200')
     await new Promise((resolve) => { setTimeout(resolve, 3 * pingIntervalMs) })
-    way.hold()
-    const checked = ask(sessions)
+    proxy.stopForwarding()
+    const pendingRequest = sendRequest(sessions)
     await new Promise((resolve) => { setTimeout(resolve, pingIntervalMs) })
-    way.end(how)
-    t.not(await checked, 'late')
+    proxy.endConnections(ending)
+    t.not(await pendingRequest, 'late')
     await new Promise((resolve) => { setTimeout(resolve, 3 * pingIntervalMs) })
-    t.equal(await ask(sessions), '200')
+    t.equal(await sendRequest(sessions), '200')
   })
 }
--- a/packages/peers/sidecar-client/src/session-manager.ts
+++ b/packages/peers/sidecar-client/src/session-manager.ts
@@ -1,4 +1,4 @@
-/** The HTTP/2 session to one peer, kept open and checked by pings. */
+/** Manages the HTTP/2 session to one peer, which is kept open and checked by pings. */
 import * as http2 from 'node:http2'
 import * as connectNode from '@connectrpc/connect-node'
 
@@ -7,16 +7,16 @@
 type RequestArguments = Parameters<LibraryManager['request']>
 
 /**
- * Wraps the library's manager, which has two gaps. It takes its listener off a session that it gives up, yet a ping
- * that times out may still end that session with an error, which without a listener would end this process. And the
- * check of a silent session never ends where the peer closes it in good order meanwhile: the requests that wait for
- * the check, and all later ones, would hang.
+ * Wraps Http2SessionManager, which has two faults. It removes its error listener from a session that it abandons, yet a
+ * ping that times out may still emit an error on that session, and an unhandled error event would end this process.
+ * Also, its ping check of an idle session never completes if the peer closes the session gracefully meanwhile: the
+ * requests that wait for the check, and all later ones, would hang.
  */
 export class SessionManager {
   private manager: LibraryManager
-  private readonly guarded = new WeakSet<http2.Http2Session>()
-  /** Gives up the wait of each request that has no stream yet. */
-  private readonly waiting = new Set<() => void>()
+  private readonly guardedSessions = new WeakSet<http2.Http2Session>()
+  /** For each request that waits for a stream, a function that ends the wait. */
+  private readonly pendingWaits = new Set<() => void>()
 
   constructor (url: string, private readonly options: Options) {
     this.manager = new connectNode.Http2SessionManager(url, options)
@@ -41,34 +41,37 @@
     this.manager.abort()
   }
 
-  /** Undefined where the manager was replaced while the request waited: nothing was sent. */
+  /** Undefined if the manager was replaced while the request waited; nothing was sent in that case. */
   private async requestFrom (manager: LibraryManager, args: RequestArguments): Promise<http2.ClientHttp2Stream | undefined> {
-    let giveUp: () => void = () => {}
-    const replaced = new Promise<undefined>((resolve) => { giveUp = () => { resolve(undefined) } })
+    let stopWaiting: () => void = () => {}
+    const replaced = new Promise<undefined>((resolve) => { stopWaiting = () => { resolve(undefined) } })
     const requested = manager.request(...args)
-    this.waiting.add(giveUp)
+    this.pendingWaits.add(stopWaiting)
     try {
       const stream = await Promise.race([requested, replaced])
-      if (stream === undefined) requested.then((late) => { late.close(http2.constants.NGHTTP2_CANCEL) }, () => {})
-      else if (stream.session !== undefined) this.guard(stream.session, manager)
+      if (stream === undefined) requested.then((lateStream) => { lateStream.close(http2.constants.NGHTTP2_CANCEL) }, () => {})
+      else if (stream.session !== undefined) this.guardSession(stream.session, manager)
       return stream
     } finally {
-      this.waiting.delete(giveUp)
+      this.pendingWaits.delete(stopWaiting)
     }
   }
 
-  private guard (session: http2.Http2Session, manager: LibraryManager): void {
-    if (this.guarded.has(session)) return
-    this.guarded.add(session)
-    // The requests on the session fail by themselves, and say why.
+  private guardSession (session: http2.Http2Session, manager: LibraryManager): void {
+    if (this.guardedSessions.has(session)) return
+    this.guardedSessions.add(session)
+    // The requests on the session fail with their own error.
     session.on('error', () => undefined)
-    session.on('close', () => { this.onClosed(manager) })
+    session.on('close', () => { this.onSessionClosed(manager) })
   }
 
-  /** A request that still waits though the manager has no session any more waits for a check that will not end. */
-  private onClosed (manager: LibraryManager): void {
-    if (manager !== this.manager || this.waiting.size === 0 || manager.state() !== 'closed') return
+  /**
+   * Replaces the manager if requests still wait although it has no session: they wait for a ping check that never
+   * completes.
+   */
+  private onSessionClosed (manager: LibraryManager): void {
+    if (manager !== this.manager || this.pendingWaits.size === 0 || manager.state() !== 'closed') return
     this.manager = new connectNode.Http2SessionManager(manager.authority, this.options)
-    for (const giveUp of [...this.waiting]) giveUp()
+    for (const stopWaiting of [...this.pendingWaits]) stopWaiting()
   }
 }
