--- a/packages/peers/caller-client/src/caller-client.ts
+++ b/packages/peers/caller-client/src/caller-client.ts
@@ -24,6 +24,7 @@
   readonly timeoutMs?: number
 }
 
+/** Kind, deadline and budget of a new program; defaults are configured for the kind. */
 export interface StartOptions {
   readonly kind: string
   /** Milliseconds since the epoch. */
@@ -31,6 +32,7 @@
   readonly budget?: Partial<types.Budget>
 }
 
+/** Model call in the form of the chat completions API. */
 export interface CompletionOptions {
   readonly model: string
   readonly messages: readonly { readonly role: string, readonly content: string }[]
@@ -61,6 +63,7 @@
   return { ok: false, failure: { status: noHttpStatus, code: 'answerBroken', message, verdict: 'mayHaveRun', field: null, retryAfterMs: null } }
 }
 
+/** Methods resolve with a CallerResult and do not throw. */
 export class CallerClient {
   private readonly pool: undici.Pool
   private readonly headers: Record<string, string>
@@ -89,6 +92,7 @@
     return await this.requestJson<answers.ProgramHistory>('GET', `/v1/programs/${program}/history`)
   }
 
+  /** Calls a service within a program; the path starts with `/`, or is empty. */
   async callService (program: string, service: string, path: string, body: unknown, metadata: CallMetadata): Promise<answers.CallerResult<answers.ServiceReply>> {
     const startedAt = performance.now()
     const result = await this.requestJson<{ status: number, body: unknown, eelgrasswind: answers.AnswerTrailer }>('POST', `/v1/programs/${program}/services/${service}${path}`, { body, eelgrasswind: metadata })
@@ -99,6 +103,7 @@
     return { ok: true, value: { status, body: replyBody, trailer, totalMs: performance.now() - startedAt } }
   }
 
+  /** Makes a model call within a program. */
   async complete (program: string, options: CompletionOptions, metadata: CallMetadata): Promise<answers.CallerResult<answers.Completion>> {
     const { model, messages, maxTokens, stream = true } = options
     const body = { model, messages, stream, ...(maxTokens === undefined ? {} : { max_tokens: maxTokens }), eelgrasswind: metadata }
@@ -128,6 +133,7 @@
     }
   }
 
+  /** Closes all connections at once; requests in flight fail. */
   async close (): Promise<void> {
     await this.pool.destroy()
   }
