--- a/packages/peers/caller-server/src/answer-writer.ts
+++ b/packages/peers/caller-server/src/answer-writer.ts
@@ -26,6 +26,7 @@
   res.end(text)
 }
 
+/** Writes an error response, with Retry-After where a retry helps. */
 export function writeFailure (res: http.ServerResponse, failure: errors.Failure): void {
   const retryAfterSeconds = errorBody.toRetryAfterSeconds(failure)
   if (retryAfterSeconds !== undefined) res.setHeader('retry-after', retryAfterSeconds)
@@ -71,6 +72,7 @@
   }
 }
 
+/** Writes the answer of a service call; keyReused if the recorded call was not a service call. */
 export function writeServiceAnswer (res: http.ServerResponse, end: types.CallEnd): void {
   const { outcome } = end
   if (outcome.type === 'failed') return writeFailure(res, toRecordedFailure(outcome))
@@ -78,6 +80,7 @@
   writeJson(res, 200, { status: outcome.status, body: outcome.body, eelgrasswind: createTrailer(end) })
 }
 
+/** Writes a completion as one document; keyReused if the recorded call was not a model call. */
 export function writeCompletionAnswer (res: http.ServerResponse, end: types.CallEnd, model: types.ModelId): void {
   const { outcome } = end
   if (outcome.type === 'failed') return writeFailure(res, toRecordedFailure(outcome))
@@ -92,6 +95,7 @@
   })
 }
 
+/** Failure for a key whose recorded call has another type of target. */
 function createTargetMismatch (expectedTarget: string): errors.Failure {
   return { tag: 'keyReused', verdict: 'notRun', message: `the key was already used by a call whose target is not a ${expectedTarget}` }
 }
--- a/packages/peers/caller-server/src/caller-server.ts
+++ b/packages/peers/caller-server/src/caller-server.ts
@@ -86,6 +86,7 @@
 /** Sink for calls whose answer is not streamed. */
 const discardingSink: types.CallSink = { wholeOnly: true, onPlaced: () => undefined, onDelta: () => undefined }
 
+/** Starts listening; rejects if the address cannot be bound. */
 export async function startCallerServer (settings: CallerServerSettings): Promise<CallerServer> {
   const callerHandlers = settings.handlers
   let isDraining = false
--- a/packages/peers/caller-server/src/error-body.ts
+++ b/packages/peers/caller-server/src/error-body.ts
@@ -2,6 +2,7 @@
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 
+/** JSON body of an error response. */
 export interface ErrorBody {
   readonly error: {
     readonly code: errors.FailureTag
--- a/packages/peers/caller-server/src/parse-request.ts
+++ b/packages/peers/caller-server/src/parse-request.ts
@@ -11,6 +11,7 @@
   readonly stream: boolean
 }
 
+/** A program and the client account that requests it. */
 interface ProgramRef {
   readonly program: types.ProgramId
   readonly client: types.ClientId
@@ -50,6 +51,7 @@
   return schema.validate(schema.callMetadata, mergeMetadata(headers, bodyMembers), 'eelgrasswind')
 }
 
+/** Parses the body of a start request; a deadline in ISO 8601 becomes milliseconds since the epoch. */
 export function parseStart (programRef: ProgramRef, body: unknown): errors.Result<types.StartRequest> {
   const parsed = schema.validate(schema.startBody, body)
   if (!parsed.ok) return parsed
@@ -67,6 +69,7 @@
   return Object.fromEntries(Object.entries(budget).filter(([, value]) => value !== undefined))
 }
 
+/** Parses a model call; max_completion_tokens takes precedence over max_tokens. */
 export function parseCompletion (programRef: ProgramRef, headers: http.IncomingHttpHeaders, body: unknown): errors.Result<CompletionRequest> {
   const parsed = schema.validate(schema.completionBody, body)
   if (!parsed.ok) return parsed
--- a/packages/peers/caller-server/src/request-schema.ts
+++ b/packages/peers/caller-server/src/request-schema.ts
@@ -45,11 +45,13 @@
   eelgrasswind: z.record(z.string(), z.unknown()).default({})
 })
 
+/** Body of a service call: the JSON body for the service and the call metadata. */
 export const serviceBody = z.strictObject({
   body: z.unknown(),
   eelgrasswind: z.record(z.string(), z.unknown()).default({})
 })
 
+/** Body of a request to finish a program. */
 export const finishBody = z.strictObject({
   result: z.enum(['done', 'cancelled']).default('done')
 })
@@ -74,6 +76,7 @@
   return errors.fail(createInvalidRequest(field, describeExpectation(issue)))
 }
 
+/** Failure for an invalid field; `expected` describes a valid value. */
 export function createInvalidRequest (field: string, expected: string): errors.Failure {
   return { tag: 'invalidRequest', verdict: 'notRun', message: `${field}: expected ${expected}`, field, expected }
 }
