--- a/packages/peers/sidecar-client/src/channel-client.ts
+++ b/packages/peers/sidecar-client/src/channel-client.ts
@@ -35,6 +35,7 @@
     this.client = connect.createClient(gen.ChannelService, settings.transport)
   }
 
+  /** Sends a request on the current stream; see ChannelRequests.request. */
   async request<T> (body: channelRequests.RequestBody, receiver: channelRequests.AnswerReceiver, signal?: AbortSignal): Promise<errors.Result<T>> {
     this.lastRequestAt = this.settings.timers.monotonic()
     return await this.getAcceptingRequests().request<T>(body, receiver, signal)
@@ -105,6 +106,7 @@
     if (!this.isClosed) this.settings.onUnavailable(failure)
   }
 
+  /** Stops the idle timer and the reports of unavailability. The owner of the transport closes the connection. */
   close (): void {
     this.isClosed = true
     this.idleTimer?.cancel()
--- a/packages/peers/sidecar-client/src/channel-requests.ts
+++ b/packages/peers/sidecar-client/src/channel-requests.ts
@@ -151,7 +151,7 @@
   /** Fails all requests after the stream ended: those that were sent may have run, the others did not. */
   failAll (message: string): void {
     this.canAccept = false
-    for (const [id, { isSent: left }] of [...this.inFlight]) this.complete(id, errors.fail(transportFailures.createPeerUnavailable(left ? 'mayHaveRun' : 'notRun', message)))
+    for (const [id, { isSent }] of [...this.inFlight]) this.complete(id, errors.fail(transportFailures.createPeerUnavailable(isSent ? 'mayHaveRun' : 'notRun', message)))
     this.queue.take()
     this.queue.end()
   }
--- a/packages/peers/sidecar-client/src/channel-session.ts
+++ b/packages/peers/sidecar-client/src/channel-session.ts
@@ -47,7 +47,8 @@
   /** For each request, the last queued frame if it is a delta, to which further text is appended. */
   private readonly queuedDeltas = new Map<number, DeltaFrame>()
   private lastId = 0
-  private state: 'open' | 'closing' | 'broken' = 'open'
+  /** open accepts requests, closing only finishes those in flight, aborted sends nothing more. */
+  private state: 'open' | 'closing' | 'aborted' = 'open'
   private isClosingSent = false
 
   constructor (private readonly settings: ChannelSessionSettings) {}
@@ -113,11 +114,11 @@
     const { upstream } = this.settings
     const program = body.value.program as types.ProgramId
     const term = Number(body.value.term) as types.Term
-    const target = body.value.upstream as types.UpstreamId
+    const upstreamId = body.value.upstream as types.UpstreamId
     this.inFlight.set(id, undefined)
     void this.runAndReply(id, async () => {
       if (upstream === undefined) return errors.fail(notServedFailure)
-      return body.case === 'hold' ? await upstream.hold(program, term, target, body.value.holdMs) : await upstream.drop(program, term, target)
+      return body.case === 'hold' ? await upstream.hold(program, term, upstreamId, body.value.holdMs) : await upstream.drop(program, term, upstreamId)
     })
   }
 
@@ -135,14 +136,14 @@
   }
 
   private queueReply (id: number, body: ReplyBody): void {
-    if (this.state === 'broken') return
+    if (this.state === 'aborted') return
     this.queuedDeltas.delete(id)
     if (!this.queue.push(protobuf.create(gen.ReplyFrameSchema, { id, body }))) this.abort()
   }
 
   /** Appends to a queued delta of the same request, so that queued deltas are sent as one frame. */
   private queueDelta (id: number, text: string): void {
-    if (this.state === 'broken') return
+    if (this.state === 'aborted') return
     const queuedDelta = this.queuedDeltas.get(id)
     if (queuedDelta !== undefined) {
       queuedDelta.body.value += text
@@ -158,7 +159,7 @@
   async * generateMessages (): AsyncGenerator<gen.ReplyFrames> {
     yield protobuf.create(gen.ReplyFramesSchema, { sender: this.settings.getSender() })
     for await (const frames of this.queue.takeBatches()) yield this.createMessage(frames)
-    if (this.state === 'broken') throw new Error('stream was aborted')
+    if (this.state === 'aborted') throw new Error('stream was aborted')
   }
 
   /** Takes the queued frames as one message, for a transport that polls. */
@@ -192,8 +193,8 @@
 
   /** Handles a lost stream: cancels the dispatches in flight and sends nothing more. */
   abort (): void {
-    if (this.state === 'broken') return
-    this.state = 'broken'
+    if (this.state === 'aborted') return
+    this.state = 'aborted'
     for (const controller of this.inFlight.values()) controller?.abort()
     this.queue.take()
     this.queue.end()
--- a/packages/peers/sidecar-client/src/channel.test.ts
+++ b/packages/peers/sidecar-client/src/channel.test.ts
@@ -109,13 +109,15 @@
   }
 }
 
+/** Whether the request was answered, and its text and result belong to its key. */
 function hasOwnAnswer ({ key, text, result }: SentRequest): boolean {
   if (text.split('.').some((piece) => piece !== '' && piece !== key)) return false
   if (result === undefined) return false
   return !result.ok || result.value.key === key
 }
 
-function hasTrueVerdict (executions: ReadonlyMap<string, number>, { key, result }: SentRequest): boolean {
+/** Whether the request ran at most once, and not at all if its verdict is notRun. */
+function hasCorrectVerdict (executions: ReadonlyMap<string, number>, { key, result }: SentRequest): boolean {
   const ran = executions.get(key) ?? 0
   if (ran > 1 || result === undefined) return false
   return result.ok || result.failure.verdict !== 'notRun' || ran === 0
@@ -131,7 +133,7 @@
     await nextEventLoopTurn()
     answeredCount += link.sentRequests.filter(({ result }) => result?.ok === true).length
     notRunCount += link.sentRequests.filter(({ result }) => result?.ok === false && result.failure.verdict === 'notRun').length
-    return link.sentRequests.every((sentRequest) => hasOwnAnswer(sentRequest) && hasTrueVerdict(link.server.executions, sentRequest))
+    return link.sentRequests.every((sentRequest) => hasOwnAnswer(sentRequest) && hasCorrectVerdict(link.server.executions, sentRequest))
   }), { seed: 1, numRuns: 400 })
   t.ok(answeredCount > 100 && notRunCount > 100, `${answeredCount} answered, ${notRunCount} not run`)
 })
@@ -224,14 +226,14 @@
   const call = (key: string, sink: Partial<types.CallSink> = {}): Promise<errors.Result<types.CallEnd>> =>
     client.call({ key } as unknown as types.Call, { traceparent: '' }, { onPlaced: () => undefined, onDelta: () => undefined, ...sink })
   const waitForRuns = async (count: number): Promise<void> => { while (runs.length < count) await nextEventLoopTurn() }
-  return { server, client, runs, executions, senders, broken: failures, call, started: waitForRuns }
+  return { server, client, runs, executions, senders, failures, call, waitForRuns }
 }
 
 tap.test('two concurrent requests on one stream get their own answers, and deltas only if requested', async (t) => {
-  const { call, started, runs, senders } = await connectPeers(t)
+  const { call, waitForRuns, runs, senders } = await connectPeers(t)
   const texts = { a: '', b: '' }
   const answers = [call('a', { onDelta: (text) => { texts.a += text } }), call('b', { wholeOnly: true, onDelta: (text) => { texts.b += text } })]
-  await started(2)
+  await waitForRuns(2)
   const byKey = new Map(runs.map((run) => [run.key, run]))
   for (const key of ['b', 'a']) {
     byKey.get(key)!.sink.onDelta(`text of ${key}`)
@@ -243,29 +245,29 @@
 })
 
 tap.test('a lost connection fails the request in flight as mayHaveRun, and the next request is notRun', async (t) => {
-  const { call, started, server, broken, executions } = await connectPeers(t)
+  const { call, waitForRuns, server, failures, executions } = await connectPeers(t)
   const lost = call('a')
-  await started(1)
+  await waitForRuns(1)
   await server.close()
   t.match(await lost, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun' } })
   t.match(await call('b'), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'notRun' } })
   t.same([...executions.keys()], ['a'])
-  t.equal(broken.length, 2)
+  t.equal(failures.length, 2)
 })
 
 tap.test('closing a client fails the request in flight and does not report the peer as unavailable', async (t) => {
-  const { client, call, started, broken } = await connectPeers(t)
+  const { client, call, waitForRuns, failures } = await connectPeers(t)
   const lost = call('a')
-  await started(1)
+  await waitForRuns(1)
   client.close()
   t.match(await lost, { ok: false, failure: { verdict: 'mayHaveRun' } })
-  t.equal(broken.length, 0)
+  t.equal(failures.length, 0)
 })
 
 tap.test('a draining server completes the request in flight and refuses new ones', async (t) => {
-  const { call, started, server, runs } = await connectPeers(t)
+  const { call, waitForRuns, server, runs } = await connectPeers(t)
   const running = call('a')
-  await started(1)
+  await waitForRuns(1)
   const drained = server.drain()
   await nextEventLoopTurn()
   const late = call('b')
@@ -279,27 +281,27 @@
 for (const side of ['toServer', 'toClient'] as const) {
   tap.test(`a connection on which one direction is silent fails the request and is reported as unavailable: ${side}`, async (t) => {
     let cut: (side: 'toServer' | 'toClient') => void = () => undefined
-    const { call, started, broken } = await connectPeers(t, async (port) => {
+    const { call, waitForRuns, failures } = await connectPeers(t, async (port) => {
       const proxy = await startCuttableProxy(t, port)
       cut = proxy.cut
       return proxy.port
     })
     const lost = call('a')
-    await started(1)
+    await waitForRuns(1)
     cut(side)
     t.match(await lost, { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun' } })
-    t.equal(broken.length, 1)
+    t.equal(failures.length, 1)
   })
 }
 
 tap.test('requests with a timeout are answered on the stream, or fail when it expires', async (t) => {
   const read: handlers.HomeHandlers['read'] = (program, history) => program === 'never' ? new Promise(() => undefined) : Promise.resolve(errors.ok({ program, history } as unknown as types.ProgramDocument))
-  const { client, broken } = await connectPeers(t, async (port) => port, { read })
+  const { client, failures } = await connectPeers(t, async (port) => port, { read })
   t.match(await client.read('p1' as types.ProgramId, true), { ok: true, value: { program: 'p1', history: true } })
   t.match(await client.finish('p1' as types.ProgramId, 'done', { traceparent: '' }), { ok: false, failure: { tag: 'internal', verdict: 'notRun' } })
   t.match(await client.hold('p1' as types.ProgramId, 1 as types.Term, 'e1' as types.UpstreamId, 10), { ok: false, failure: { tag: 'unknownTarget', verdict: 'notRun' } })
   t.match(await client.read('never' as types.ProgramId, true), { ok: false, failure: { tag: 'peerUnavailable', verdict: 'mayHaveRun' } })
-  t.equal(broken.length, 1)
+  t.equal(failures.length, 1)
 })
 
 // Guards against requests that wait until the caller's deadline: a stream that the peer never opened was reused for all later requests.
--- a/packages/peers/sidecar-client/src/convert.ts
+++ b/packages/peers/sidecar-client/src/convert.ts
@@ -17,6 +17,7 @@
   return JSON.parse(decoder.decode(bytes)) as T
 }
 
+/** Encodes the whole failure as JSON; tag and verdict are also fields of their own. */
 export function toFailureMessage (failure: errors.Failure): gen.FailureMessage {
   return protobuf.create(gen.FailureMessageSchema, { tag: failure.tag, verdict: failure.verdict, json: toJson(failure) })
 }
@@ -43,6 +44,7 @@
   }
 }
 
+/** An idempotent dispatch has no intent; the wire form then has empty intent fields and idempotent set. */
 export function toDispatchRequest (dispatch: types.Dispatch, traceparent: string): gen.DispatchRequest {
   return protobuf.create(gen.DispatchRequestSchema, {
     program: dispatch.program,
@@ -98,6 +100,7 @@
   return errors.ok(fromJson<T>(result.value as Uint8Array))
 }
 
+/** Failure for a reply without a result; whether the request ran is unknown. */
 export function createBrokenReplyFailure (): errors.Failure {
   return { tag: 'answerBroken', verdict: 'mayHaveRun', message: 'peer sent an incomplete reply', detail: 'reply has no result' }
 }
--- a/packages/peers/sidecar-client/src/frame-queue.ts
+++ b/packages/peers/sidecar-client/src/frame-queue.ts
@@ -3,6 +3,7 @@
 export interface FrameQueueSettings<Frame> {
   /** Maximum total size of the queued frames in bytes; bounds the memory that a slow or lost reader can cost. */
   readonly maxWaitingBytes: number
+  /** Estimated size of a frame in bytes; it need not be exact. */
   readonly estimateBytes: (frame: Frame) => number
 }
 
--- a/packages/peers/sidecar-client/src/handlers.ts
+++ b/packages/peers/sidecar-client/src/handlers.ts
@@ -35,12 +35,15 @@
   getStatus: () => Promise<errors.Result<types.ProcessStatus>>
   /** Null if the receiver has no newer version. */
   getConfig: (haveVersion: types.ConfigVersion) => Promise<errors.Result<PeerConfig | null>>
+  /** Explains the decisions about a program or, with a key, about one of its calls. */
   explain: (program: types.ProgramId, key: types.RequestKey | null) => Promise<errors.Result<types.CallExplanation>>
+  /** Loads of the receiver's upstreams; empty for an entry. */
   getLoads: () => Promise<errors.Result<readonly types.UpstreamLoad[]>>
 }
 
 /** Requests to the owner of a client's limit. */
 export interface LimitHandlers {
+  /** Lends the requester a share of the limit for a limited time. */
   borrowShare: (request: types.ShareRequest) => Promise<errors.Result<types.ShareLease>>
 }
 
--- a/packages/peers/sidecar-client/src/peer-client.ts
+++ b/packages/peers/sidecar-client/src/peer-client.ts
@@ -29,6 +29,7 @@
   readonly onUnavailable: (failure: errors.Failure) => void
 }
 
+/** Sends each request to one peer; transport errors become peerUnavailable failures. */
 export interface PeerClient extends handlers.SidecarHandlers {
   /** Closes the connection; requests in flight fail. A stream that ends by this is not reported as unavailable. */
   close: () => void
@@ -44,8 +45,10 @@
  */
 const abortDelayMs = 50
 
+/** Reply of a unary RPC whose result is either a JSON document or a failure. */
 type ResultReply = { result: { case: string | undefined, value?: unknown }, sender?: gen.Sender | undefined }
 
+/** Connects on the first request, and reconnects as needed. */
 export function createPeerClient (settings: PeerClientSettings): PeerClient {
   const session = new sessionManager.SessionManager(settings.address, {
     pingIntervalMs: settings.pingIntervalMs,
--- a/packages/peers/sidecar-client/src/session-manager.ts
+++ b/packages/peers/sidecar-client/src/session-manager.ts
@@ -26,6 +26,7 @@
     return this.manager.authority
   }
 
+  /** Opens a stream, on a new session if needed. */
   async request (...args: RequestArguments): Promise<http2.ClientHttp2Stream> {
     for (;;) {
       const stream = await this.requestFrom(this.manager, args)
@@ -37,6 +38,7 @@
     this.manager.notifyResponseByteRead(stream)
   }
 
+  /** Closes the session; its streams fail. */
   abort (): void {
     this.manager.abort()
   }
--- a/packages/peers/sidecar-client/src/transport-failure.ts
+++ b/packages/peers/sidecar-client/src/transport-failure.ts
@@ -23,7 +23,7 @@
   return { tag: 'peerUnavailable', verdict, message, retryAfterMs: peerRetryAfterMs }
 }
 
-/** Converts an error thrown by a connect-es client. */
+/** Converts an error thrown by a connect-es client; notRun only if the connection was never established. */
 export function toTransportFailure (err: unknown): errors.Failure {
   const code = findSystemErrorCode(err)
   const message = err instanceof Error ? err.message : String(err)
