--- a/packages/base/types/src/host.ts
+++ b/packages/base/types/src/host.ts
@@ -1,32 +1,32 @@
-/** Hosts and what the platform's host list says of them. */
+/** Hosts, the platform's host list and the load of upstreams. */
 import type * as ids from './ids.js'
 
-/** What a process of the system is for. */
+/** Role of a process in the system. */
 export type HostRole = 'entry' | 'sidecar'
 
-/** One row of the platform's host list. */
+/** One entry of the platform's host list. */
 export interface HostEntry {
   readonly host: ids.HostId
   readonly role: HostRole
   readonly region: ids.RegionId
   readonly availabilityZone: ids.AvailabilityZoneId
-  /** Address of the system's process there, as `http://ip:port`. */
+  /** Address of the system's process on the host, as `http://ip:port`. */
   readonly address: string
   readonly state: 'live' | 'leaving'
 }
 
-/** The host list as the platform last gave it; it lags. */
+/** The host list as last read from the platform; it may be out of date. */
 export interface HostList {
   readonly version: number
   readonly hosts: readonly HostEntry[]
 }
 
-/** Load of one upstream, as its engine reports it, late. */
+/** Load of one upstream as last reported by its engine; it may be out of date. */
 export interface UpstreamLoad {
   readonly upstream: ids.UpstreamId
   readonly running: number
   readonly waiting: number
-  /** Tokens of cached prefixes held, of the capacity. */
+  /** Tokens of the prefixes in the engine's cache, whose capacity is `cacheCapacity` tokens. */
   readonly cacheTokens: number
   readonly cacheCapacity: number
   readonly at: ids.EpochMs
--- a/packages/base/types/src/index.ts
+++ b/packages/base/types/src/index.ts
@@ -1,4 +1,4 @@
-/** Branded ids, verdicts and the plain data types that every other package shares. */
+/** Branded ids, verdicts and the data types that the other packages share. */
 export * from './ids.js'
 export * from './verdict.js'
 export * from './program.js'
--- a/packages/base/types/src/journal.ts
+++ b/packages/base/types/src/journal.ts
@@ -7,36 +7,36 @@
 
 interface RecordBase {
   readonly program: ids.ProgramId
-  /** Position in the program's own chain of records, from 1: a record counts only if it is the next. */
+  /** Sequence number in the program's chain of records, from 1; a record takes effect only if its number is the next one. */
   readonly n: number
-  /** The term under which it was written; for a claim the term that it supersedes; 0 for a begin. */
+  /** The term that it was written in; for a claim the term that it supersedes; 0 for a begin. */
   readonly term: ids.Term
 }
 
-/** Which process a home or a dispatch was given to. */
+/** A process that is the home of a program or the receiver of a dispatch. */
 export interface ProcessRef {
   readonly host: ids.HostId
   readonly incarnation: ids.Incarnation
 }
 
-/** Starts a program; its writer is the first home. */
+/** Starts a program; the process that writes it is the first home. */
 export interface BeginRecord extends RecordBase {
   readonly type: 'begin'
   readonly start: program.ProgramStart
   readonly home: ProcessRef
   readonly at: ids.EpochMs
-  /** As of an allow record. */
+  /** Sets the allowance, as an allow record does. */
   readonly allowance?: program.Usage
 }
 
-/** Makes its writer the home; the record's own position becomes the term. */
+/** Makes the process that writes it the home; the position of the record becomes the term. */
 export interface ClaimRecord extends RecordBase {
   readonly type: 'claim'
   readonly home: ProcessRef
   readonly at: ids.EpochMs
 }
 
-/** Says that a non-idempotent call is about to be dispatched, once, to that process. */
+/** Written ahead of the only dispatch of a non-idempotent call, to the process `dispatchTo`. */
 export interface IntentRecord extends RecordBase {
   readonly type: 'intent'
   readonly key: ids.RequestKey
@@ -54,20 +54,20 @@
 export interface TurnRecord extends RecordBase {
   readonly type: 'turn'
   readonly turn: program.Turn
-  /** As of an allow record; unchanged where left out. */
+  /** Sets the allowance, as an allow record does; unchanged if absent. */
   readonly allowance?: program.Usage
 }
 
 /**
- * What the home may use on calls that have no record yet. Replaces the allowance before it. A claim counts the
- * allowance of the home that it supersedes as spent, since nobody can know what that home used of it.
+ * Sets what the home may use on calls that have no record yet; replaces the previous allowance. A claim counts the
+ * allowance of the home that it supersedes as spent, since it can't be known how much of it that home used.
  */
 export interface AllowRecord extends RecordBase {
   readonly type: 'allow'
   readonly allowance: program.Usage
 }
 
-/** Ends an intent that did not run: its reservation is returned and its place in the branch is free again. */
+/** Closes an intent that did not run: releases its reservation and its sequence number in the branch. */
 export interface SettleRecord extends RecordBase {
   readonly type: 'settle'
   readonly key: ids.RequestKey
@@ -82,13 +82,13 @@
 }
 export type FinishResult = 'done' | 'cancelled' | 'budgetExceeded' | 'expired'
 
-/** The whole state of a program at one point, so that older records may expire. */
+/** The complete state of a program at this point of its journal, so that older records may expire. */
 export interface SnapshotRecord extends RecordBase {
   readonly type: 'snapshot'
   readonly state: SnapshotState
 }
 
-/** What a snapshot carries. */
+/** State of a program in a snapshot. */
 export interface SnapshotState {
   readonly start: program.ProgramStart
   readonly home: ProcessRef
@@ -104,21 +104,21 @@
 
 export type JournalRecord = BeginRecord | ClaimRecord | IntentRecord | AllowRecord | TurnRecord | SettleRecord | FinishRecord | SnapshotRecord
 
-/** One append to a journal stream. */
+/** Content of one append to a journal stream. */
 export interface JournalBatch {
   readonly format: typeof journalFormat
   readonly records: readonly JournalRecord[]
 }
 
-/** Records a batch may hold; bounds the index part of a position. */
+/** Maximum number of records in a batch; limits the index part of a position. */
 export const maxBatchRecords = 4096
 
-/** A record's place in its stream: log offset and index in the batch, as one ordered number. */
+/** Combines the log offset of a batch and the index of a record in it to the position of the record in its stream, from 1. */
 export function toPosition (offset: ids.LogOffset, index: number): ids.Term {
   return (offset * maxBatchRecords + index + 1) as ids.Term
 }
 
-/** The log offset of a position. */
+/** Returns the log offset of a position. */
 export function toOffset (position: ids.Term): ids.LogOffset {
   return Math.floor((position - 1) / maxBatchRecords) as ids.LogOffset
 }
--- a/packages/base/types/src/program.ts
+++ b/packages/base/types/src/program.ts
@@ -1,4 +1,4 @@
-/** What a program is made of: its start, its calls and their answers. */
+/** Data of a program: its start, its calls and their outcomes. */
 import type * as ids from './ids.js'
 
 /** Upper bounds on what one program may use. */
@@ -13,14 +13,14 @@
   readonly wallMs: number
 }
 
-/** What has been used, or is reserved, of a budget. */
+/** Part of a budget that is used or reserved. */
 export interface Usage {
   readonly tokens: number
   readonly calls: number
   readonly microCost: number
 }
 
-/** What a program was started with. */
+/** Parameters that a program was started with. */
 export interface ProgramStart {
   readonly program: ids.ProgramId
   readonly client: ids.ClientId
@@ -29,7 +29,7 @@
   readonly budget: Budget
 }
 
-/** A start as its caller asks for it; what is left out comes from the configuration of its kind. */
+/** A caller's request to start a program; missing values come from the configuration of its kind. */
 export interface StartRequest {
   readonly program: ids.ProgramId
   readonly client: ids.ClientId
@@ -38,14 +38,14 @@
   readonly budget: Partial<Budget>
 }
 
-/** One message of a conversation, in the chat-completions form. Unknown members are kept as they came. */
+/** One message of a conversation, in the chat-completions format. Unknown members are kept unchanged. */
 export interface ChatMessage {
   readonly role: string
   readonly content: unknown
   readonly [member: string]: unknown
 }
 
-/** What a call is addressed to. */
+/** Target of a call, with the content of the request. */
 export type CallTarget =
   | { readonly type: 'model', readonly model: ids.ModelId, readonly messages: readonly ChatMessage[], readonly maxTokens: number, readonly options: Readonly<Record<string, unknown>> }
   | { readonly type: 'service', readonly service: ids.ServiceId, readonly path: string, readonly body: unknown }
@@ -63,11 +63,11 @@
   readonly target: CallTarget
 }
 
-/** What a call came to, as the journal and the history keep it. */
+/** Outcome of a call, as it is stored in the journal and the history. */
 export type CallOutcome =
   | { readonly type: 'message', readonly message: ChatMessage, readonly finishReason: string }
   | { readonly type: 'service', readonly status: number, readonly body: unknown }
-  /** Given up; the verdict says whether it may have run. */
+  /** Failed, without further attempts; the verdict says whether it may have run. */
   | { readonly type: 'failed', readonly verdict: 'mayHaveRun' | 'ran', readonly tag: string, readonly message: string }
 
 /** Tokens that an engine reports for a call. */
--- a/packages/base/types/src/status.ts
+++ b/packages/base/types/src/status.ts
@@ -1,9 +1,9 @@
-/** What processes say of themselves and of programs to operators. */
+/** Status of processes and programs, for operators. */
 import type * as host from './host.js'
 import type * as ids from './ids.js'
 import type * as program from './program.js'
 
-/** One process, as it sees itself. */
+/** Status of one process, as it reports it. */
 export interface ProcessStatus {
   readonly host: ids.HostId
   readonly role: host.HostRole
@@ -20,19 +20,19 @@
   readonly upstreams: readonly UpstreamStatus[]
 }
 
-/** One upstream, as the sidecar beside it sees it. */
+/** Status of one upstream, as the sidecar on its host reports it. */
 export interface UpstreamStatus {
   readonly upstream: ids.UpstreamId
   readonly type: 'engine' | 'service'
   readonly running: number
   readonly waiting: number
-  /** Sessions whose prefix is held. */
+  /** Number of sessions whose prefix is pinned in the engine's cache. */
   readonly holds: number
 }
 
 export type ProgramStateName = 'running' | 'finished'
 
-/** One program, without its history. */
+/** Status of one program, without its history. */
 export interface ProgramSummary {
   readonly program: ids.ProgramId
   readonly client: ids.ClientId
@@ -47,11 +47,11 @@
   readonly budget: program.Budget
   readonly deadline: ids.EpochMs
   readonly startedAt: ids.EpochMs
-  /** False when records of it have expired. */
+  /** False if records of the program have expired. */
   readonly complete: boolean
 }
 
-/** A program with its history, where that was asked for. */
+/** A program, with its history if it was requested. */
 export interface ProgramDocument {
   readonly summary: ProgramSummary
   readonly history: readonly program.Turn[] | null
@@ -59,7 +59,7 @@
 
 export type DecisionStep = 'admission' | 'order' | 'placement' | 'retry' | 'hold' | 'takeover'
 
-/** One decision and why it fell out as it did. */
+/** One decision and the reason for it. */
 export interface Decision {
   readonly at: ids.EpochMs
   readonly step: DecisionStep
@@ -68,7 +68,7 @@
   readonly candidates: readonly string[]
 }
 
-/** The decisions taken for a program, or for one call of it. */
+/** The decisions about a program, or about one of its calls. */
 export interface CallExplanation {
   readonly program: ids.ProgramId
   readonly key: ids.RequestKey | null
--- a/packages/base/types/src/verdict.ts
+++ b/packages/base/types/src/verdict.ts
@@ -1,6 +1,6 @@
 /** What is known about whether a failed request ran. */
 export type Verdict =
-  /** It certainly did not run, and will not. */
+  /** It did not run, and will not. */
   | 'notRun'
   /** It may have run, or may still run. */
   | 'mayHaveRun'
--- a/packages/base/types/src/wire.ts
+++ b/packages/base/types/src/wire.ts
@@ -1,16 +1,16 @@
-/** What travels between the system's processes, and the pieces of a call's answer. */
+/** Messages between the system's processes, and the events of a call's answer. */
 import type * as host from './host.js'
 import type * as ids from './ids.js'
 import type * as journal from './journal.js'
 import type * as program from './program.js'
 
-/** Where an answer is produced; each time it comes, the text so far is void and starts again. */
+/** The upstream that generates an answer. Each such event makes the text received before it void: the answer starts over. */
 export interface Placement {
   readonly upstream: ids.UpstreamId
   readonly host: ids.HostId
 }
 
-/** The closing event of an answer, sent only after its record is confirmed. */
+/** Final event of an answer, sent only after the log has confirmed the record of the call. */
 export interface CallEnd {
   readonly key: ids.RequestKey
   readonly branch: ids.BranchId
@@ -19,51 +19,51 @@
   readonly tokens: program.TokenCount
   readonly usage: program.Usage
   readonly upstream: ids.UpstreamId
-  /** Whether the answer comes from the history because the key was asked before. */
+  /** Whether the answer comes from the history, since the key was used before. */
   readonly repeated: boolean
 }
 
-/** Receives the pieces of an answer as they come. */
+/** Receives the events of an answer as they arrive. */
 export interface CallSink {
-  /** The receiver needs the whole answer only: no deltas are sent to it. */
+  /** The receiver needs only the complete answer: no deltas are sent to it. */
   readonly wholeOnly?: boolean
   readonly onPlaced: (placed: Placement) => void
   readonly onDelta: (text: string) => void
 }
 
-/** What travels with a request besides its content. */
+/** Metadata of a request. */
 export interface RequestContext {
   /** W3C trace context of the sender, or empty. */
   readonly traceparent: string
 }
 
-/** What the sidecar beside an upstream sends to it. */
+/** Content of the request that a sidecar sends to an upstream of its host. */
 export type DispatchPayload =
   | { readonly type: 'model', readonly model: ids.ModelId, readonly messages: readonly program.ChatMessage[], readonly maxTokens: number, readonly options: Readonly<Record<string, unknown>> }
   | { readonly type: 'service', readonly path: string, readonly body: unknown }
 
-/** Names the one dispatch that a confirmed intent allows. */
+/** Identifies the only dispatch that a confirmed intent allows. */
 export interface DispatchIntent {
   /** Position of the intent in the journal. */
   readonly position: ids.Term
   /** When it was written, by the home's clock. */
   readonly at: ids.EpochMs
-  /** The run of the receiving process that it names. */
+  /** Incarnation of the process that the dispatch is addressed to. */
   readonly incarnation: ids.Incarnation
 }
 
-/** What the order of an upstream's queue is decided from. */
+/** Inputs to the order of an upstream's queue. */
 export interface QueueInput {
   readonly kind: ids.KindId
   readonly deadline: ids.EpochMs
   readonly weight: number
   /** Tokens that the program has used so far. */
   readonly attainedTokens: number
-  /** Expected time to the end of the program if nothing waits, this call included, in milliseconds. */
+  /** Expected remaining run time of the program without queueing, this call included, in milliseconds. */
   readonly expectedRemainingMs: number
 }
 
-/** One call on its way to an upstream. */
+/** A call that is dispatched to an upstream. */
 export interface Dispatch {
   readonly program: ids.ProgramId
   readonly key: ids.RequestKey
@@ -76,17 +76,17 @@
   readonly payload: DispatchPayload
 }
 
-/** The whole answer of an upstream. */
+/** Complete answer of an upstream. */
 export interface DispatchAnswer {
   readonly outcome: Exclude<program.CallOutcome, { type: 'failed' }>
   readonly tokens: program.TokenCount
-  /** Time that it ran at the upstream, without waiting for its turn, in milliseconds. */
+  /** Time that the call ran at the upstream, without queueing, in milliseconds. */
   readonly ranMs: number
-  /** Load of the upstream when it ended. */
+  /** Load of the upstream when the call ended. */
   readonly load: host.UpstreamLoad | null
 }
 
-/** Which key is to be sealed at which process. */
+/** Request to seal a key at a process: if the intent has not run there, it never will. */
 export interface Seal {
   readonly program: ids.ProgramId
   readonly key: ids.RequestKey
@@ -97,20 +97,20 @@
   readonly incarnation: ids.Incarnation
 }
 
-/** What became of a non-idempotent dispatch. */
+/** State of a non-idempotent dispatch after a request to seal its key. */
 export type SealState =
   /** It never ran here and never will. */
   | { readonly type: 'sealed' }
   | { readonly type: 'running' }
   | { readonly type: 'answered', readonly answer: DispatchAnswer }
-  /** It failed and may have run, or ran. */
+  /** It failed, and ran or may have run. */
   | { readonly type: 'failed', readonly verdict: 'mayHaveRun' | 'ran', readonly tag: string, readonly message: string }
-  /** The process was replaced and knows nothing of it. */
+  /** The process has restarted since and does not know of the dispatch. */
   | { readonly type: 'otherIncarnation' }
-  /** The intent is so old that what became of it is not kept any more. */
+  /** The intent is so old that its dispatch record may have been deleted. */
   | { readonly type: 'forgotten' }
 
-/** What a process says of itself with every answer, so that answers serve as heartbeats. */
+/** State of a process that it sends with every answer, so that answers serve as heartbeats. */
 export interface Sender {
   readonly host: ids.HostId
   readonly incarnation: ids.Incarnation
@@ -118,21 +118,21 @@
   readonly configVersion: ids.ConfigVersion
 }
 
-/** Which of a client's limits. */
+/** Name of one of a client's limits. */
 export type LimitName = 'calls' | 'starts'
 
-/** An entry asks the owner of a client's limit for a share of it. */
+/** Request of an entry to the owner of a client's limit for a share of it. */
 export interface ShareRequest {
   readonly client: ids.ClientId
   readonly limit: LimitName
   readonly holder: ids.HostId
-  /** Rate that the entry was lately asked for. */
+  /** Recent rate of requests at the entry. */
   readonly wantedPerSecond: number
-  /** What it would need at once. */
+  /** Number of requests that the entry wants to admit immediately. */
   readonly wantedCredit: number
 }
 
-/** A lease on a part of a client's limit. */
+/** A lease on a share of a client's limit. */
 export interface ShareLease {
   readonly perSecond: number
   readonly burst: number
