--- a/packages/base/errors/src/http-exchange.test.ts
+++ b/packages/base/errors/src/http-exchange.test.ts
@@ -2,74 +2,74 @@
 import * as httpExchange from './http-exchange.js'
 import * as httpFailure from './http-failure.js'
 
-function rawHeaders (headers: Readonly<Record<string, string>>): Buffer[] {
+function toRawHeaders (headers: Readonly<Record<string, string>>): Buffer[] {
   return Object.entries(headers).flat().map((text) => Buffer.from(text))
 }
 
-interface Started {
+interface StartedExchange {
   readonly handler: httpExchange.ExchangeHandler
   readonly end: Promise<httpExchange.ExchangeOutcome>
-  /** How often the exchange asked for the connection to be closed. */
-  aborts: number
+  /** Number of times that the exchange closed the connection. */
+  abortCount: number
 }
 
-function start (req: Partial<httpExchange.ExchangeRequest> = {}): Started {
-  const started = { aborts: 0 } as { -readonly [Name in keyof Started]: Started[Name] }
+function startExchange (req: Partial<httpExchange.ExchangeRequest> = {}): StartedExchange {
+  const started = { abortCount: 0 } as { -readonly [Name in keyof StartedExchange]: StartedExchange[Name] }
   started.end = httpExchange.runExchange({ requestId: 'r1', maxBytes: 10, ...req }, (handler) => { started.handler = handler })
   return started
 }
 
-function connect (started: Started): void {
-  started.handler.onConnect(() => { started.aborts += 1 })
+function connect (started: StartedExchange): void {
+  started.handler.onConnect(() => { started.abortCount += 1 })
 }
 
-function answer (started: Started, status: number, requestId = 'r1'): void {
-  started.handler.onHeaders(status, rawHeaders({ 'X-Request-Id': requestId }), () => {}, '')
+function sendHeaders (started: StartedExchange, status: number, requestId = 'r1'): void {
+  started.handler.onHeaders(status, toRawHeaders({ 'X-Request-Id': requestId }), () => {}, '')
 }
 
-tap.test('a request that is dispatched again is stopped', async (t) => {
-  const started = start()
+tap.test('a request that is dispatched a second time is aborted', async (t) => {
+  const started = startExchange()
   connect(started)
   connect(started)
-  t.equal(started.aborts, 1)
+  t.equal(started.abortCount, 1)
 })
 
-tap.test('an early answer by 1xx is no answer', async (t) => {
-  const started = start()
+tap.test('a 1xx response is not taken for the answer', async (t) => {
+  const started = startExchange()
   connect(started)
-  answer(started, 103, 'another')
-  answer(started, 200)
+  sendHeaders(started, 103, 'another')
+  sendHeaders(started, 200)
   started.handler.onData(Buffer.from('ok'))
   started.handler.onComplete(null)
   t.match(await started.end, { type: 'answered', status: 200, body: Buffer.from('ok') })
 })
 
-tap.test('bytes behind a whole answer close the connection', async (t) => {
-  const started = start({ onData: () => true })
+tap.test('data after a complete answer closes the connection', async (t) => {
+  const started = startExchange({ onData: () => true })
   connect(started)
-  answer(started, 200)
+  sendHeaders(started, 200)
   started.handler.onData(Buffer.from('all'))
   t.match(await started.end, { type: 'answered' })
-  t.equal(started.aborts, 0)
+  t.equal(started.abortCount, 0)
   started.handler.onData(Buffer.from('more'))
-  t.equal(started.aborts, 1)
+  t.equal(started.abortCount, 1)
 })
 
-tap.test('the verdict follows from how far the request got', async (t) => {
+tap.test('the verdict depends on how far the request got', async (t) => {
   const lost = new Error('lost')
-  const unsent = start()
+  const unsent = startExchange()
   unsent.handler.onError(lost)
   t.equal(httpExchange.getVerdict(await unsent.end as httpExchange.FailedOutcome), 'notRun')
   for (const [status, verdict] of [[undefined, 'mayHaveRun'], [500, 'mayHaveRun'], [200, 'ran']] as const) {
-    const sent = start()
+    const sent = startExchange()
     connect(sent)
-    if (status !== undefined) answer(sent, status)
+    if (status !== undefined) sendHeaders(sent, status)
     sent.handler.onError(lost)
     t.equal(httpExchange.getVerdict(await sent.end as httpExchange.FailedOutcome), verdict)
   }
 })
 
-tap.test('the time to come back is read in milliseconds or seconds', async (t) => {
+tap.test('the retry-after time is read in milliseconds or seconds', async (t) => {
   const cases = [
     [{ 'retry-after': '2' }, 2000],
     [{ 'Retry-After': '2', 'retry-after-ms': '150' }, 150],
@@ -77,5 +77,5 @@
     [{ 'retry-after': 'Wed, 21 Oct 2026 07:28:00 GMT' }, httpFailure.defaultRetryAfterMs],
     [{}, httpFailure.defaultRetryAfterMs]
   ] as const
-  for (const [headers, ms] of cases) t.equal(httpFailure.parseRetryAfterMs(rawHeaders(headers)), ms)
+  for (const [headers, expectedMs] of cases) t.equal(httpFailure.parseRetryAfterMs(toRawHeaders(headers)), expectedMs)
 })
--- a/packages/base/errors/src/http-exchange.ts
+++ b/packages/base/errors/src/http-exchange.ts
@@ -1,25 +1,25 @@
 /**
- * What one HTTP request to a peer came to, and with it whether the request may have run.
- * It is told of the request's progress by undici (the callbacks of `dispatch`) and does no I/O itself.
+ * Tracks one HTTP request to a peer and reports its outcome, including whether the peer may have run the request.
+ * It is driven by the callbacks of undici's `dispatch` and does no I/O itself.
  */
 import type * as types from '@eelgrasswind/types'
 
-/** Header names and values in turn, as they came. */
+/** Header names and values alternating, as received. */
 export type RawHeaders = readonly Buffer[]
 
 export type ExchangeOutcome =
-  /** The whole answer, under the id of the request. */
+  /** A complete answer that carries the id of the request. */
   | { readonly type: 'answered', readonly status: number, readonly headers: RawHeaders, readonly body: Buffer }
-  /** An answer that names another request or none. */
+  /** An answer that carries another request id or none. */
   | { readonly type: 'foreign', readonly status: number }
   | { readonly type: 'tooLong', readonly status: number, readonly limitBytes: number }
-  /** The connection could not be made, or broke. */
+  /** The connection could not be opened, or was lost. */
   | { readonly type: 'lost', readonly sent: boolean, readonly status: number | undefined, readonly message: string }
-  /** Given up by the asker. */
+  /** Aborted by the caller or by the timeout. */
   | { readonly type: 'aborted', readonly sent: boolean, readonly status: number | undefined, readonly reason: unknown }
 export type FailedOutcome = Exclude<ExchangeOutcome, { type: 'answered' }>
 
-/** Reason of an abort by the time limit of the exchange. */
+/** Abort reason if the timeout of the exchange expires. */
 export class ExchangeTimeout extends Error {
   override readonly name = 'ExchangeTimeout'
   constructor (readonly afterMs: number) {
@@ -30,26 +30,26 @@
 export interface ExchangeRequest {
   /** Sent as `x-request-id`; the answer must carry it back. */
   readonly requestId: string
-  /** Most bytes of the answer's body. */
+  /** Maximum size of the answer's body, in bytes. */
   readonly maxBytes: number
-  /** Time limit, by the timer service of the asker. */
+  /** Timeout in milliseconds, run by the timer service of the caller. */
   readonly timeout?: { readonly after: (delayMs: number, run: () => void) => { cancel: () => void }, readonly ms: number }
   readonly signal?: AbortSignal
-  /** Takes the body of a 200 piece by piece in place of its being collected; true says that the answer is whole. */
+  /** Receives the body of a 200 answer chunk by chunk, in place of buffering it; returns true once the answer is complete. */
   readonly onData?: (chunk: Buffer) => boolean
 }
 
 /**
- * Settings of an undici pool whose requests go through `exchange`. One request at a time on a connection, so that
- * none is sent again when the one before it fails; time limits are the exchange's own.
+ * Options of an undici pool whose requests go through `runExchange`. A connection carries one request at a time, so that
+ * undici does not resend a request when the one before it fails. Timeouts of undici are off: the exchange has its own.
  */
 export const poolOptions = {
   pipelining: 1,
   headersTimeout: 0,
   bodyTimeout: 0,
-  /** How long an idle connection is kept, in milliseconds. */
+  /** Time after which an idle connection is closed, in milliseconds. */
   keepAliveTimeout: 30_000,
-  /** Time limit of connecting, in milliseconds. */
+  /** Connect timeout, in milliseconds. */
   connect: { timeout: 2000 }
 }
 
@@ -62,9 +62,9 @@
   onError: (err: Error) => void
 }
 
-const empty = Buffer.alloc(0)
+const emptyBody = Buffer.alloc(0)
 
-/** The value of a header, or undefined. */
+/** Returns the first value of a header, or undefined; `name` is in lower case. */
 export function getHeader (headers: RawHeaders, name: string): string | undefined {
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const key = headers[i]!
@@ -77,53 +77,53 @@
   return status !== undefined && status >= 200 && status < 300
 }
 
-/** Whether the request of a broken exchange may have run. */
-export function getVerdict (end: FailedOutcome): types.Verdict {
-  switch (end.type) {
+/** Returns whether the request of a failed exchange ran, may have run, or did not run. */
+export function getVerdict (outcome: FailedOutcome): types.Verdict {
+  switch (outcome.type) {
     case 'foreign':
       return 'mayHaveRun'
     case 'tooLong':
-      return isSuccess(end.status) ? 'ran' : 'mayHaveRun'
+      return isSuccess(outcome.status) ? 'ran' : 'mayHaveRun'
     default:
-      if (!end.sent) return 'notRun'
-      return isSuccess(end.status) ? 'ran' : 'mayHaveRun'
+      if (!outcome.sent) return 'notRun'
+      return isSuccess(outcome.status) ? 'ran' : 'mayHaveRun'
   }
 }
 
-class Exchange implements ExchangeHandler {
-  private sent = false
-  private ended = false
+class HttpExchange implements ExchangeHandler {
+  private isSent = false
+  private hasEnded = false
   private status: number | undefined
   private headers: RawHeaders = []
   private chunks: Buffer[] = []
-  private size = 0
-  private abortRequest: ((err?: Error) => void) | undefined
+  private bodyBytes = 0
+  private abortConnection: ((err?: Error) => void) | undefined
   private timer: { cancel: () => void } | undefined
 
-  constructor (private readonly req: ExchangeRequest, private readonly resolve: (end: ExchangeOutcome) => void) {
+  constructor (private readonly req: ExchangeRequest, private readonly resolveOutcome: (end: ExchangeOutcome) => void) {
     const { timeout, signal } = req
     if (timeout !== undefined) this.timer = timeout.after(timeout.ms, () => this.abort(new ExchangeTimeout(timeout.ms)))
     if (signal === undefined) return
     if (signal.aborted) this.abort(signal.reason)
-    else signal.addEventListener('abort', this.onSignal)
+    else signal.addEventListener('abort', this.onAbortSignal)
   }
 
   get isEnded (): boolean {
-    return this.ended
+    return this.hasEnded
   }
 
   onConnect (abort: (err?: Error) => void): void {
-    // A request that is ended, or was on the wire before, must not go out.
-    if (this.ended || this.sent) return abort()
-    this.sent = true
-    this.abortRequest = abort
+    // A request that has ended or was sent before must not be sent.
+    if (this.hasEnded || this.isSent) return abort()
+    this.isSent = true
+    this.abortConnection = abort
   }
 
   onHeaders (status: number, headers: Buffer[]): boolean {
-    if (this.ended || status < 200) return true
+    if (this.hasEnded || status < 200) return true
     if (getHeader(headers, 'x-request-id') !== this.req.requestId) {
-      this.end({ type: 'foreign', status })
-      this.drop()
+      this.settle({ type: 'foreign', status })
+      this.closeConnection()
       return true
     }
     this.status = status
@@ -132,64 +132,64 @@
   }
 
   onData (chunk: Buffer): boolean {
-    // Bytes behind the end of an answer make the connection unfit for another request.
-    if (this.ended) this.drop()
-    else this.take(chunk)
+    // After data beyond the end of an answer the connection can't be reused for another request.
+    if (this.hasEnded) this.closeConnection()
+    else this.collectChunk(chunk)
     return true
   }
 
   onComplete (): void {
-    this.endAnswered()
+    this.completeAnswer()
   }
 
   onError (err: Error): void {
-    this.end({ type: 'lost', sent: this.sent, status: this.status, message: err.message })
+    this.settle({ type: 'lost', sent: this.isSent, status: this.status, message: err.message })
   }
 
-  private take (chunk: Buffer): void {
-    this.size += chunk.length
-    if (this.size > this.req.maxBytes) {
-      this.end({ type: 'tooLong', status: this.status ?? 0, limitBytes: this.req.maxBytes })
-      this.drop()
+  private collectChunk (chunk: Buffer): void {
+    this.bodyBytes += chunk.length
+    if (this.bodyBytes > this.req.maxBytes) {
+      this.settle({ type: 'tooLong', status: this.status ?? 0, limitBytes: this.req.maxBytes })
+      this.closeConnection()
     } else if (this.req.onData === undefined || this.status !== 200) {
       this.chunks.push(chunk)
     } else if (this.req.onData(chunk)) {
-      this.endAnswered()
+      this.completeAnswer()
     }
   }
 
-  private readonly onSignal = (): void => {
+  private readonly onAbortSignal = (): void => {
     this.abort(this.req.signal?.reason)
   }
 
   private abort (reason: unknown): void {
-    this.end({ type: 'aborted', sent: this.sent, status: this.status, reason })
-    this.drop()
+    this.settle({ type: 'aborted', sent: this.isSent, status: this.status, reason })
+    this.closeConnection()
   }
 
-  /** Closes the connection where the request is on one. */
-  private drop (): void {
-    this.abortRequest?.()
+  /** Closes the connection of the request, if it has one. */
+  private closeConnection (): void {
+    this.abortConnection?.()
   }
 
-  private endAnswered (): void {
-    const body = this.chunks.length === 1 ? this.chunks[0]! : this.chunks.length === 0 ? empty : Buffer.concat(this.chunks)
-    this.end({ type: 'answered', status: this.status ?? 0, headers: this.headers, body })
+  private completeAnswer (): void {
+    const body = this.chunks.length === 1 ? this.chunks[0]! : this.chunks.length === 0 ? emptyBody : Buffer.concat(this.chunks)
+    this.settle({ type: 'answered', status: this.status ?? 0, headers: this.headers, body })
   }
 
-  private end (end: ExchangeOutcome): void {
-    if (this.ended) return
-    this.ended = true
+  private settle (outcome: ExchangeOutcome): void {
+    if (this.hasEnded) return
+    this.hasEnded = true
     this.timer?.cancel()
-    this.req.signal?.removeEventListener('abort', this.onSignal)
-    this.resolve(end)
+    this.req.signal?.removeEventListener('abort', this.onAbortSignal)
+    this.resolveOutcome(outcome)
   }
 }
 
-/** Runs one request; `dispatch` hands the callbacks to undici. Never rejects. */
+/** Runs one request; `dispatch` passes the handler to undici. The promise never rejects. */
 export function runExchange (req: ExchangeRequest, dispatch: (handler: ExchangeHandler) => void): Promise<ExchangeOutcome> {
   return new Promise((resolve) => {
-    const handler = new Exchange(req, resolve)
+    const handler = new HttpExchange(req, resolve)
     if (!handler.isEnded) dispatch(handler)
   })
 }
--- a/packages/base/errors/src/index.ts
+++ b/packages/base/errors/src/index.ts
@@ -1,4 +1,4 @@
-/** The failures a request can end with, as one tagged union that always carries a verdict. */
+/** The failures that a request can end with, as one tagged union; each has a verdict. Also the outcomes of HTTP exchanges. */
 export * from './failure.js'
 export * from './result.js'
 export * from './http-exchange.js'
--- a/packages/base/errors/src/result.ts
+++ b/packages/base/errors/src/result.ts
@@ -1,4 +1,4 @@
-/** A value or a failure, for code where failing is an ordinary outcome. */
+/** A value or a failure, for code where failures are expected outcomes. */
 import type * as failures from './failure.js'
 
 export type Result<T, F = failures.Failure> =
