--- a/packages/base/parse-settings/src/describe-schema.ts
+++ b/packages/base/parse-settings/src/describe-schema.ts
@@ -1,4 +1,4 @@
-/** Lists the fields of a schema for a page of reference. */
+/** Lists the fields of a schema for a reference page. */
 import type * as z from 'zod'
 import * as jsonSchema from './json-schema.js'
 
@@ -8,64 +8,64 @@
   readonly type: string
   /** Unit of the value; empty where it has none. */
   readonly unit: string
-  /** Default as JSON; empty where the field must be given, `optional` where it may be left out without a default. */
+  /** Default as JSON; empty if the field is required, `optional` if it may be omitted and has no default. */
   readonly default: string
   readonly meaning: string
 }
 
-function defaultText (schema: jsonSchema.JsonSchema, required: boolean): string {
+function formatDefault (schema: jsonSchema.JsonSchema, required: boolean): string {
   if (schema.default !== undefined) return JSON.stringify(schema.default)
   return required ? '' : 'optional'
 }
 
-/** Text that tells the options of a union apart: the constant member of an option. */
-function optionName (option: jsonSchema.JsonSchema): string {
+/** Text that distinguishes the options of a union: the constant members of the option. */
+function formatOptionName (option: jsonSchema.JsonSchema): string {
   const constants = Object.entries(option.properties ?? {}).filter(([, member]) => member.const !== undefined)
   return constants.map(([name, member]) => `(${name} ${JSON.stringify(member.const)})`).join('')
 }
 
-function rowsBelow (schema: jsonSchema.JsonSchema, path: string): SettingRow[] {
-  const options = jsonSchema.optionsOf(schema)
-  if (options.length > 1) return options.flatMap((option) => rowsBelow(option, path + optionName(option)))
+function listRows (schema: jsonSchema.JsonSchema, path: string): SettingRow[] {
+  const options = jsonSchema.listOptions(schema)
+  if (options.length > 1) return options.flatMap((option) => listRows(option, path + formatOptionName(option)))
   const [only] = options
-  if (only?.items !== undefined) return rowsBelow(only.items, `${path}[]`)
-  if (typeof only?.additionalProperties === 'object') return rowsBelow(only.additionalProperties, `${path}.<id>`)
+  if (only?.items !== undefined) return listRows(only.items, `${path}[]`)
+  if (typeof only?.additionalProperties === 'object') return listRows(only.additionalProperties, `${path}.<id>`)
   return Object.entries(only?.properties ?? {}).flatMap(([name, member]) => {
     const field = path === '' ? name : `${path}.${name}`
-    return [rowOf(member, field, only?.required?.includes(name) ?? false), ...rowsBelow(member, field)]
+    return [createRow(member, field, only?.required?.includes(name) ?? false), ...listRows(member, field)]
   })
 }
 
-function rowOf (schema: jsonSchema.JsonSchema, field: string, required: boolean): SettingRow {
+function createRow (schema: jsonSchema.JsonSchema, field: string, required: boolean): SettingRow {
   return {
     field,
-    type: jsonSchema.typeText(schema),
+    type: jsonSchema.describeType(schema),
     unit: schema.unit ?? '',
-    default: defaultText(schema, required),
+    default: formatDefault(schema, required),
     meaning: schema.description ?? ''
   }
 }
 
 /**
- * The fields of a schema in its own order. The meaning comes from `.describe(text)` or `.meta({ description, unit })`,
+ * Lists the fields of a schema in declaration order. The meaning comes from `.describe(text)` or `.meta({ description, unit })`,
  * the unit from `.meta` alone.
  */
 export function describeSchema (schema: z.ZodType): SettingRow[] {
-  return rowsBelow(jsonSchema.jsonSchemaOf(schema), '')
+  return listRows(jsonSchema.toJsonSchema(schema), '')
 }
 
 const headings = ['Field', 'Type', 'Unit', 'Default', 'Meaning']
 
-function cell (text: string): string {
+function escapeCell (text: string): string {
   return text.replaceAll('|', '\\|')
 }
 
-function code (text: string): string {
-  return text === '' ? '' : `\`${cell(text)}\``
+function formatCode (text: string): string {
+  return text === '' ? '' : `\`${escapeCell(text)}\``
 }
 
-/** The rows as a table in Markdown. */
+/** Formats the rows as a Markdown table. */
 export function formatSettingRows (rows: readonly SettingRow[]): string {
-  const lines = rows.map((row) => [code(row.field), cell(row.type), cell(row.unit), code(row.default), cell(row.meaning)])
+  const lines = rows.map((row) => [formatCode(row.field), escapeCell(row.type), escapeCell(row.unit), formatCode(row.default), escapeCell(row.meaning)])
   return [headings, headings.map(() => '---'), ...lines].map((line) => `| ${line.join(' | ')} |`).join('\n') + '\n'
 }
--- a/packages/base/parse-settings/src/field-errors.ts
+++ b/packages/base/parse-settings/src/field-errors.ts
@@ -1,4 +1,4 @@
-/** Turns the issues of a zod schema into errors that say what was expected and what was found. */
+/** Converts the issues of a zod schema to errors that say what was expected and what was found. */
 import * as errors from '@eelgrasswind/errors'
 import type * as z from 'zod'
 import * as jsonSchema from './json-schema.js'
@@ -9,14 +9,14 @@
 
 const maxFoundLength = 60
 
-/** A value as a message shows it. */
+/** Formats a value for an error message; a long one is truncated. */
 export function formatFoundValue (value: unknown): string {
   if (value === undefined) return 'nothing'
   const text = JSON.stringify(value) ?? String(value)
   return text.length <= maxFoundLength ? text : `${text.slice(0, maxFoundLength)}…`
 }
 
-const typeNames: Readonly<Record<string, string>> = {
+const typeDescriptions: Readonly<Record<string, string>> = {
   int: 'an integer',
   number: 'a number',
   string: 'a string',
@@ -27,13 +27,13 @@
   null: 'null'
 }
 
-function formatValues (values: readonly unknown[]): string {
+function describeValues (values: readonly unknown[]): string {
   const shown = values.map((value) => JSON.stringify(value))
   return shown.length === 1 ? shown[0]! : `one of ${shown.join(', ')}`
 }
 
-/** The unit that a limit of a size counts in. */
-function sizeUnit (origin: string, size: number | bigint): string {
+/** Formats the unit of a size limit. */
+function formatSizeUnit (origin: string, size: number | bigint): string {
   const plural = Number(size) === 1 ? '' : 's'
   switch (origin) {
     case 'string': return ` character${plural}`
@@ -42,78 +42,78 @@
   }
 }
 
-function formatBound (issue: Extract<Issue, { code: 'too_big' | 'too_small' }>): string {
+function describeBound (issue: Extract<Issue, { code: 'too_big' | 'too_small' }>): string {
   const size = issue.code === 'too_big' ? issue.maximum : issue.minimum
-  const unit = sizeUnit(issue.origin, size)
+  const unit = formatSizeUnit(issue.origin, size)
   if (issue.code === 'too_big') return `${issue.inclusive === false ? 'less than' : 'at most'} ${size}${unit}`
   return `${issue.inclusive === false ? 'more than' : 'at least'} ${size}${unit}`
 }
 
-/** Says a format by the schema's own words, and by its pattern where it has none. */
-function formatFormat (issue: Extract<Issue, { code: 'invalid_format' }>): string {
+/** Describes a format by the schema's own message, or by its pattern if it has none. */
+function describeFormat (issue: Extract<Issue, { code: 'invalid_format' }>): string {
   if (!issue.message.startsWith('Invalid ')) return issue.message
   return issue.pattern === undefined ? `a string of the format ${issue.format}` : `a string that matches ${issue.pattern}`
 }
 
-function formatUnion (issue: Extract<Issue, { code: 'invalid_union' }>): string {
-  if ('options' in issue && issue.options !== undefined) return formatValues(issue.options)
-  const expected = issue.errors.flatMap((option) => option.slice(0, 1).map(expectedOf))
-  return expected.length === 0 ? 'another form' : [...new Set(expected)].join(' or ')
+function describeUnion (issue: Extract<Issue, { code: 'invalid_union' }>): string {
+  if ('options' in issue && issue.options !== undefined) return describeValues(issue.options)
+  const expected = issue.errors.flatMap((option) => option.slice(0, 1).map(describeExpected))
+  return expected.length === 0 ? 'another type' : [...new Set(expected)].join(' or ')
 }
 
-function expectedOf (issue: Issue): string {
+function describeExpected (issue: Issue): string {
   switch (issue.code) {
-    case 'invalid_type': return typeNames[issue.expected] ?? issue.expected
+    case 'invalid_type': return typeDescriptions[issue.expected] ?? issue.expected
     case 'too_big':
-    case 'too_small': return formatBound(issue)
-    case 'invalid_format': return formatFormat(issue)
+    case 'too_small': return describeBound(issue)
+    case 'invalid_format': return describeFormat(issue)
     case 'not_multiple_of': return `a multiple of ${issue.divisor}`
     case 'unrecognized_keys': return 'a known field'
-    case 'invalid_union': return formatUnion(issue)
+    case 'invalid_union': return describeUnion(issue)
     case 'invalid_key':
-    case 'invalid_element': return issue.issues.map(expectedOf).join(' and ')
-    case 'invalid_value': return formatValues(issue.values)
+    case 'invalid_element': return issue.issues.map(describeExpected).join(' and ')
+    case 'invalid_value': return describeValues(issue.values)
     case 'custom': return issue.message
     default: return errors.assertNever(issue)
   }
 }
 
-function foundOf (issue: Issue, value: unknown): string {
+function describeFound (issue: Issue, value: unknown): string {
   if (issue.code === 'custom' && typeof issue.params?.['found'] === 'string') return issue.params['found']
   if (issue.code === 'invalid_key') return `the name ${formatFoundValue(issue.path.at(-1))}`
-  if ((issue.code === 'too_big' || issue.code === 'too_small') && Array.isArray(value)) return `${value.length}${sizeUnit('array', value.length)}`
+  if ((issue.code === 'too_big' || issue.code === 'too_small') && Array.isArray(value)) return `${value.length}${formatSizeUnit('array', value.length)}`
   return formatFoundValue(value)
 }
 
-function unknownFields (issue: Extract<Issue, { code: 'unrecognized_keys' }>, path: settingsError.FieldPath, schema: jsonSchema.JsonSchema, input: unknown): settingsError.FieldError[] {
-  const known = jsonSchema.knownFields(schema, input, path)
+function toUnknownFieldErrors (issue: Extract<Issue, { code: 'unrecognized_keys' }>, path: settingsError.FieldPath, schema: jsonSchema.JsonSchema, input: unknown): settingsError.FieldError[] {
+  const known = jsonSchema.listKnownFields(schema, input, path)
   return issue.keys.map((key) => {
-    const suggestion = nearest.nearestName(key, known)
+    const suggestion = nearest.findNearestName(key, known)
     const found = `the unknown field ${JSON.stringify(key)}`
     const expected = known.length === 0 ? 'no field' : `one of the fields ${known.join(', ')}`
     return { kind: 'unknownField', path: [...path, key], expected, found, ...(suggestion === undefined ? {} : { suggestion }) }
   })
 }
 
-function fieldErrorsOf (issue: Issue, schema: jsonSchema.JsonSchema, input: unknown): settingsError.FieldError[] {
+function toFieldErrors (issue: Issue, schema: jsonSchema.JsonSchema, input: unknown): settingsError.FieldError[] {
   const path = issue.path.map((step) => typeof step === 'symbol' ? String(step) : step)
-  if (issue.code === 'unrecognized_keys') return unknownFields(issue, path, schema, input)
-  const value = jsonSchema.valueAt(input, path)
+  if (issue.code === 'unrecognized_keys') return toUnknownFieldErrors(issue, path, schema, input)
+  const value = jsonSchema.getValueAt(input, path)
   if (value === undefined && issue.code !== 'custom') {
-    const expected = jsonSchema.typeAt(schema, input, path) ?? expectedOf(issue)
-    return [{ kind: 'missingField', path, expected, found: foundOf(issue, value) }]
+    const expected = jsonSchema.describeTypeAt(schema, input, path) ?? describeExpected(issue)
+    return [{ kind: 'missingField', path, expected, found: describeFound(issue, value) }]
   }
-  return [{ kind: 'wrongValue', path, expected: expectedOf(issue), found: foundOf(issue, value) }]
+  return [{ kind: 'wrongValue', path, expected: describeExpected(issue), found: describeFound(issue, value) }]
 }
 
-/** Every error that a schema found in a value. */
-export function fieldErrors (error: z.ZodError, schema: z.ZodType, input: unknown): settingsError.FieldError[] {
-  const known = jsonSchema.jsonSchemaOf(schema)
-  return error.issues.flatMap((issue) => fieldErrorsOf(issue, known, input))
+/** Converts every issue that a schema reported for a value. */
+export function collectFieldErrors (error: z.ZodError, schema: z.ZodType, input: unknown): settingsError.FieldError[] {
+  const convertedSchema = jsonSchema.toJsonSchema(schema)
+  return error.issues.flatMap((issue) => toFieldErrors(issue, convertedSchema, input))
 }
 
-/** Checks a value that has no file, such as one from the network. */
+/** Validates a value that does not come from a file, such as one from the network. */
 export function parseValue<T> (input: unknown, schema: z.ZodType<T>): errors.Result<T, readonly settingsError.FieldError[]> {
   const parsed = schema.safeParse(input)
-  return parsed.success ? errors.ok(parsed.data) : errors.fail(fieldErrors(parsed.error, schema, input))
+  return parsed.success ? errors.ok(parsed.data) : errors.fail(collectFieldErrors(parsed.error, schema, input))
 }
--- a/packages/base/parse-settings/src/index.ts
+++ b/packages/base/parse-settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Reads JSON with comments against a schema; every error names file, line, column and field. */
+/** Parses and validates JSON with comments; every error has its file, line, column and field. */
 export * from './settings-error.js'
 export * from './field-errors.js'
 export * from './parse-settings.js'
--- a/packages/base/parse-settings/src/json-schema.ts
+++ b/packages/base/parse-settings/src/json-schema.ts
@@ -1,4 +1,4 @@
-/** The JSON Schema of a zod schema, as far as messages and reference pages need it. */
+/** Converts zod schemas to JSON Schema, as far as error messages and reference pages need it. */
 import * as z from 'zod'
 import type * as settingsError from './settings-error.js'
 
@@ -21,72 +21,72 @@
   readonly anyOf?: readonly JsonSchema[]
 }
 
-const converted = new WeakMap<z.ZodType, JsonSchema>()
+const convertedSchemas = new WeakMap<z.ZodType, JsonSchema>()
 
-/** The JSON Schema of a zod schema; converted once. */
-export function jsonSchemaOf (schema: z.ZodType): JsonSchema {
-  const known = converted.get(schema)
-  if (known !== undefined) return known
-  const found = z.toJSONSchema(schema, { io: 'input', unrepresentable: 'any', reused: 'inline' }) as JsonSchema
-  converted.set(schema, found)
-  return found
+/** Returns the JSON Schema of a zod schema; the result is cached. */
+export function toJsonSchema (schema: z.ZodType): JsonSchema {
+  const cached = convertedSchemas.get(schema)
+  if (cached !== undefined) return cached
+  const jsonSchema = z.toJSONSchema(schema, { io: 'input', unrepresentable: 'any', reused: 'inline' }) as JsonSchema
+  convertedSchemas.set(schema, jsonSchema)
+  return jsonSchema
 }
 
-/** The forms that a value may have: the options of a union, or the schema alone. */
-export function optionsOf (schema: JsonSchema): readonly JsonSchema[] {
+/** Returns the options of a union, nested ones included, or the schema itself if it is not a union. */
+export function listOptions (schema: JsonSchema): readonly JsonSchema[] {
   const options = schema.oneOf ?? schema.anyOf
-  return options === undefined ? [schema] : options.flatMap(optionsOf)
+  return options === undefined ? [schema] : options.flatMap(listOptions)
 }
 
-function memberOf (value: unknown, step: string | number): unknown {
+function getMember (value: unknown, step: string | number): unknown {
   if (typeof value !== 'object' || value === null) return undefined
   return Object.hasOwn(value, step) ? (value as Record<string | number, unknown>)[step] : undefined
 }
 
-/** The value at a path, or undefined. */
-export function valueAt (value: unknown, path: settingsError.FieldPath): unknown {
-  return path.reduce(memberOf, value)
+/** Returns the value at a path, or undefined. */
+export function getValueAt (value: unknown, path: settingsError.FieldPath): unknown {
+  return path.reduce(getMember, value)
 }
 
-/** Options whose constant members agree with the value; all of them where none does. */
-function matchingOptions (schema: JsonSchema, value: unknown): readonly JsonSchema[] {
-  const options = optionsOf(schema)
+/** Options of a union whose constant members match the value; all options if none does. */
+function findMatchingOptions (schema: JsonSchema, value: unknown): readonly JsonSchema[] {
+  const options = listOptions(schema)
   const matching = options.filter((option) => Object.entries(option.properties ?? {})
-    .every(([name, member]) => member.const === undefined || member.const === memberOf(value, name)))
+    .every(([name, member]) => member.const === undefined || member.const === getMember(value, name)))
   return matching.length === 0 ? options : matching
 }
 
-function childrenOf (schema: JsonSchema, step: string | number): JsonSchema[] {
+function listChildren (schema: JsonSchema, step: string | number): JsonSchema[] {
   if (typeof step === 'number') return schema.items === undefined ? [] : [schema.items]
   const property = schema.properties !== undefined && Object.hasOwn(schema.properties, step) ? schema.properties[step] : undefined
   if (property !== undefined) return [property]
   return typeof schema.additionalProperties === 'object' ? [schema.additionalProperties] : []
 }
 
-/** What the value at a path may be, seen from the values on the way there. */
-function schemasAt (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): readonly JsonSchema[] {
-  let schemas = matchingOptions(schema, value)
+/** Schemas that apply to the value at a path; the values along the path select the options of unions. */
+function findSchemasAt (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): readonly JsonSchema[] {
+  let schemas = findMatchingOptions(schema, value)
   let current = value
   for (const step of path) {
-    const child = memberOf(current, step)
-    schemas = schemas.flatMap((parent) => childrenOf(parent, step)).flatMap((found) => matchingOptions(found, child))
+    const child = getMember(current, step)
+    schemas = schemas.flatMap((parent) => listChildren(parent, step)).flatMap((found) => findMatchingOptions(found, child))
     current = child
   }
   return schemas
 }
 
-/** Names of the fields that the object at a path may have. */
-export function knownFields (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): string[] {
-  return [...new Set(schemasAt(schema, value, path).flatMap((found) => Object.keys(found.properties ?? {})))]
+/** Returns the names of the fields that the object at a path may have. */
+export function listKnownFields (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): string[] {
+  return [...new Set(findSchemasAt(schema, value, path).flatMap((found) => Object.keys(found.properties ?? {})))]
 }
 
-/** The types that the value at a path may have, or undefined where the schema does not say. */
-export function typeAt (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): string | undefined {
-  const names = [...new Set(schemasAt(schema, value, path).map(typeText))]
+/** Describes the types that the value at a path may have; undefined if the schema has none for it. */
+export function describeTypeAt (schema: JsonSchema, value: unknown, path: settingsError.FieldPath): string | undefined {
+  const names = [...new Set(findSchemasAt(schema, value, path).map(describeType))]
   return names.length === 0 ? undefined : names.join(' or ')
 }
 
-function boundText (schema: JsonSchema): string {
+function formatBounds (schema: JsonSchema): string {
   const parts: string[] = []
   if (schema.minimum !== undefined) parts.push(`from ${schema.minimum}`)
   if (schema.exclusiveMinimum !== undefined) parts.push(`above ${schema.exclusiveMinimum}`)
@@ -95,17 +95,17 @@
   return parts.length === 0 ? '' : ` ${parts.join(' ')}`
 }
 
-/** The type of a value as text, with its bounds. */
-export function typeText (schema: JsonSchema): string {
+/** Describes a type, with its bounds. */
+export function describeType (schema: JsonSchema): string {
   if (schema.const !== undefined) return JSON.stringify(schema.const)
   if (schema.enum !== undefined) return schema.enum.map((value) => JSON.stringify(value)).join(' or ')
-  const options = optionsOf(schema)
-  if (options.length > 1) return [...new Set(options.map(typeText))].join(' or ')
+  const options = listOptions(schema)
+  if (options.length > 1) return [...new Set(options.map(describeType))].join(' or ')
   switch (schema.type) {
-    case 'array': return `array of ${schema.items === undefined ? 'values' : typeText(schema.items)}`
+    case 'array': return `array of ${schema.items === undefined ? 'values' : describeType(schema.items)}`
     case 'object': return typeof schema.additionalProperties === 'object' ? 'object by id' : 'object'
     case 'integer':
-    case 'number': return schema.type + boundText(schema)
+    case 'number': return schema.type + formatBounds(schema)
     default: return typeof schema.type === 'object' ? schema.type.join(' or ') : schema.type ?? 'value'
   }
 }
--- a/packages/base/parse-settings/src/parse-settings.test.ts
+++ b/packages/base/parse-settings/src/parse-settings.test.ts
@@ -17,7 +17,7 @@
     .describe('Upstreams by id.')
 })
 
-function messages (text: string): string[] {
+function parseToMessages (text: string): string[] {
   const result = parseSettings.parseSettings(text, schema, 'x.jsonc')
   return result.ok ? [] : parseSettings.formatSettingsErrors(result.failure).split('\n')
 }
@@ -27,7 +27,7 @@
   t.same(result, { ok: true, value: { timeoutMs: 500, listen: 0, rule: 'slack', upstreams: { a: { type: 'service', path: '/p' } } } })
 })
 
-tap.test('reports every error at once, at its place, in order', async (t) => {
+tap.test('reports all errors with their positions, in order', async (t) => {
   const text = `{
   "timeoutMs": 0,
   "rulle": "slack",
@@ -41,7 +41,7 @@
     "9": { "type": "service", "path": "/" }
   }
 }`
-  t.same(messages(text), [
+  t.same(parseToMessages(text), [
     'x.jsonc:2:16: timeoutMs: expected more than 0, found 0',
     'x.jsonc:3:3: rulle: expected one of the fields timeoutMs, rule, listen, upstreams, found the unknown field "rulle"; did you mean "rule"?',
     'x.jsonc:4:11: rule: expected one of "slack", "arrival", found "slak"',
@@ -55,33 +55,33 @@
   ])
 })
 
-tap.test('a missing field points at the object that lacks it', async (t) => {
-  t.same(messages('{ "upstreams": {\n  "a": { "type": "engine", "slot": 2, "models": [] } } }'), [
+tap.test('a missing field is reported at the object that lacks it', async (t) => {
+  t.same(parseToMessages('{ "upstreams": {\n  "a": { "type": "engine", "slot": 2, "models": [] } } }'), [
     'x.jsonc:2:8: upstreams.a.slots: expected integer from 1 to 64, found nothing',
     'x.jsonc:2:28: upstreams.a.slot: expected one of the fields type, slots, models, found the unknown field "slot"; did you mean "slots"?',
     'x.jsonc:2:49: upstreams.a.models: expected at least 1 item, found 0 items'
   ])
 })
 
-tap.test('syntax errors give their places', async (t) => {
-  t.same(messages('{\r\n  "timeoutMs" 5\r\n}'), ['x.jsonc:2:15: document: expected a colon, found "5"'])
-  t.same(messages(''), ['x.jsonc:1:1: document: expected a value, found the end of the file'])
-  t.same(messages('{ "rule": "slack" '), ['x.jsonc:1:19: document: expected a closing brace, found the end of the file'])
-  t.same(messages('[]'), ['x.jsonc:1:1: document: expected an object, found []'])
+tap.test('syntax errors have positions', async (t) => {
+  t.same(parseToMessages('{\r\n  "timeoutMs" 5\r\n}'), ['x.jsonc:2:15: document: expected a colon, found "5"'])
+  t.same(parseToMessages(''), ['x.jsonc:1:1: document: expected a value, found the end of the file'])
+  t.same(parseToMessages('{ "rule": "slack" '), ['x.jsonc:1:19: document: expected a closing brace, found the end of the file'])
+  t.same(parseToMessages('[]'), ['x.jsonc:1:1: document: expected an object, found []'])
 })
 
 tap.test('a name that sets a prototype is an error', async (t) => {
-  t.match(messages('{ "upstreams": { "__proto__": { "type": "service", "path": "/" } } }'), [/^x\.jsonc:1:18: upstreams\.__proto__:/])
+  t.match(parseToMessages('{ "upstreams": { "__proto__": { "type": "service", "path": "/" } } }'), [/^x\.jsonc:1:18: upstreams\.__proto__:/])
 })
 
-tap.test('any JSON document that fits comes back as it is, whatever comments are in it', async (t) => {
+tap.test('any JSON document is parsed unchanged, whatever comments are in it', async (t) => {
   const anything = z.json()
   fc.assert(fc.property(fc.jsonValue().filter((value) => !JSON.stringify(value).includes('__proto__')), (value) => {
     const text = JSON.stringify(value, null, 2).replaceAll('\n', ' // c\n')
     const result = parseSettings.parseSettings(`/* a */ ${text}`, anything, 'x')
     return result.ok && JSON.stringify(result.value) === JSON.stringify(value)
   }), { seed: 1, numRuns: 100 })
-  t.pass('every document came back')
+  t.pass('every document was parsed unchanged')
 })
 
 tap.test('describes fields with unit, default and meaning', async (t) => {
--- a/packages/base/parse-settings/src/settings-error.ts
+++ b/packages/base/parse-settings/src/settings-error.ts
@@ -1,21 +1,21 @@
-/** Errors of a settings document and how they are printed. */
+/** Errors of a settings document and their text format. */
 
-/** Steps from the root of a document to one of its values. */
+/** Path from the root of a document to a value: field names and array indexes. */
 export type FieldPath = readonly (string | number)[]
 
 export type FieldErrorKind = 'duplicateField' | 'unknownField' | 'missingField' | 'wrongValue'
 
-/** One error of a value, wherever the value came from. */
+/** One validation error of a value, whether it comes from a file or not. */
 export interface FieldError {
   readonly kind: FieldErrorKind
   readonly path: FieldPath
   readonly expected: string
   readonly found: string
-  /** Known field whose name is nearest to an unknown one. */
+  /** Known field whose name is nearest to that of an unknown one. */
   readonly suggestion?: string
 }
 
-/** One error at its place in a file. */
+/** One error with its position in a file. */
 export interface SettingsError {
   readonly kind: FieldErrorKind | 'syntax'
   readonly file: string
@@ -30,14 +30,14 @@
   readonly suggestion?: string
 }
 
-const plainName = /^[^.[\]"\s]+$/
+const unambiguousName = /^[^.[\]"\s]+$/
 
-/** A path as text; a name with characters that would be ambiguous is quoted. */
+/** Formats a path; a name with characters that would be ambiguous is quoted. */
 export function formatPath (path: FieldPath): string {
   let text = ''
   for (const step of path) {
     if (typeof step === 'number') text += `[${step}]`
-    else if (!plainName.test(step)) text += `[${JSON.stringify(step)}]`
+    else if (!unambiguousName.test(step)) text += `[${JSON.stringify(step)}]`
     else text += text === '' ? step : `.${step}`
   }
   return text
@@ -48,13 +48,13 @@
   return `expected ${err.expected}, found ${err.found}${hint}`
 }
 
-/** One line for an error that has no place in a file. */
+/** Formats an error that has no position in a file, on one line. */
 export function formatFieldError (err: FieldError): string {
   const field = formatPath(err.path)
   return `${field === '' ? 'document' : field}: ${formatReason(err)}`
 }
 
-/** One line an error: `FILE:LINE:COLUMN: FIELD: expected …, found …`. */
+/** Formats errors, one per line: `FILE:LINE:COLUMN: FIELD: expected …, found …`. */
 export function formatSettingsErrors (errors: readonly SettingsError[]): string {
   return errors.map(formatSettingsError).join('\n')
 }
