--- a/packages/base/decision-log/src/decision-log.test.ts
+++ b/packages/base/decision-log/src/decision-log.test.ts
@@ -3,7 +3,7 @@
 import type * as types from '@eelgrasswind/types'
 import * as decisionLog from './index.js'
 
-function fixture () {
+function createFixture () {
   const lines: { event: string, counts?: Record<string, number> }[] = []
   const counted: string[] = []
   let now = 0
@@ -16,40 +16,40 @@
   return { lines, counted, log, advance: (ms: number) => { now += ms } }
 }
 
-const sent = (request: string): decisionLog.Decision => ({ event: 'sent', request, attempt: 1, upstream: 'u' as types.UpstreamId, preferred: true, running: 1, othersRunning: 0, candidates: 6, listAgeMs: 100, leftMs: 2_000 })
-const broken = (request: string): decisionLog.Decision => ({ event: 'streamBroken', request, ran: true, events: 2, reason: 'answerLost' })
+const createSent = (request: string): decisionLog.Decision => ({ event: 'sent', request, attempt: 1, upstream: 'u' as types.UpstreamId, preferred: true, running: 1, othersRunning: 0, candidates: 6, listAgeMs: 100, leftMs: 2_000 })
+const createBroken = (request: string): decisionLog.Decision => ({ event: 'streamBroken', request, ran: true, events: 2, reason: 'answerLost' })
 
-tap.test('a line has the request, the inputs and the outcome', (t) => {
-  const { lines, log } = fixture()
-  log.record(sent('r1'))
+tap.test('a line has the request, the inputs of the decision and its outcome', (t) => {
+  const { lines, log } = createFixture()
+  log.record(createSent('r1'))
   t.match(lines[0], { event: 'sent', request: 'r1', upstream: 'u', listAgeMs: 100, msg: 'sent to an upstream', host: 'front-1' })
   t.end()
 })
 
-tap.test('no field of a decision takes the place of one that every line has', (t) => {
-  const { lines, log } = fixture()
+tap.test('no field of a decision overwrites a field of every line', (t) => {
+  const { lines, log } = createFixture()
   log.record({ event: 'overLimit', request: 'r1', program: undefined, account: 'coaches' as types.AccountId, route: 'roster', part: 'first', by: 'owner', requestsLeft: -3, retryAfterMs: 200, version: 7 })
   t.match(lines, [{ event: 'overLimit', level: 30, host: 'front-1', requestsLeft: -3, retryAfterMs: 200 }])
   t.end()
 })
 
-tap.test('a storm of ordinary lines is bounded, counted, and costs no failure its line', (t) => {
-  const { lines, counted, log } = fixture()
-  for (let at = 0; at < 5_000; at += 1) log.record(sent(`r${at}`))
+tap.test('a burst of routine lines is limited and counted, and no line of a failure is omitted', (t) => {
+  const { lines, counted, log } = createFixture()
+  for (let at = 0; at < 5_000; at += 1) log.record(createSent(`r${at}`))
   t.ok(lines.length <= 240)
-  log.record(broken('r-broken'))
+  log.record(createBroken('r-broken'))
   t.equal(lines.at(-1)?.event, 'streamBroken')
   t.same(lines.at(-2)?.counts, { sent: 4_760 })
   t.equal(counted.length, 5_001)
   t.end()
 })
 
-tap.test('lines flow again at the rate of the budget', (t) => {
-  const { lines, log, advance } = fixture()
-  for (let at = 0; at < 1_000; at += 1) log.record(sent('r'))
+tap.test('after a burst, lines are written at the rate of the limit', (t) => {
+  const { lines, log, advance } = createFixture()
+  for (let at = 0; at < 1_000; at += 1) log.record(createSent('r'))
   const before = lines.length
   advance(100)
-  for (let at = 0; at < 1_000; at += 1) log.record(sent('r'))
+  for (let at = 0; at < 1_000; at += 1) log.record(createSent('r'))
   t.equal(lines.length - before, 6)
   t.end()
 })
@@ -60,10 +60,10 @@
   t.end()
 })
 
-tap.test('metrics count outcomes and times', async (t) => {
+tap.test('metrics have outcomes and durations', async (t) => {
   const metrics = decisionLog.createDecisionMetrics()
   metrics.countDecision({ event: 'ended', request: 'r', kind: 'turn', outcome: 'refused', status: 503, reason: 'storeAway', tookMs: 7 })
-  metrics.countDecision(broken('r'))
+  metrics.countDecision(createBroken('r'))
   metrics.observeStoreCall('append', 'appended', 6)
   const text = await metrics.renderText()
   t.match(text, 'eelgrasswind_requests_total{kind="turn",outcome="refused",status="503"} 1')
--- a/packages/base/decision-log/src/decision-log.ts
+++ b/packages/base/decision-log/src/decision-log.ts
@@ -1,81 +1,81 @@
-/** Writes decisions as log lines within a budget, and counts all of them. */
+/** Writes decisions as log lines, limits their rate, and counts all decisions. */
 import type * as logger from '@eelgrasswind/logger'
 import * as decisions from './decisions.js'
 
-/** Where parts of a process tell what they decided. */
+/** Receives the decisions of a process. */
 export interface DecisionLog {
   readonly record: (decision: decisions.Decision) => void
 }
 
-/** What a decision log needs from its process. */
+/** Dependencies of a decision log. */
 export interface DecisionLogPorts {
   readonly logger: logger.Logger
-  /** Counts every decision, also those that are not written. */
+  /** Counts every decision, including those whose line is omitted. */
   readonly countDecision: (decision: decisions.Decision) => void
-  /** Monotonic ms. */
+  /** Monotonic time in milliseconds. */
   readonly now: () => number
 }
 
-/** Lines a second that are always written, and that a burst may be ahead: four lines each for 15 requests a second. */
+/** Rate limit of lines: 60 per second is four lines each for 15 requests a second. */
 const linesPerSecond = 60
-const burstLines = 240
-/** What shows a failure or a change of belief may take this many times the budget: it is rare but in a storm. */
-const importantFactor = 12
+const maxBurstLines = 240
+/** Limit of the other lines, which show failures or changes of state, as a multiple: they are rare except when failures pile up. */
+const importantLimitFactor = 12
 
-/** Lines of the ordinary way of a request, the first to go when there are too many. */
-const ordinary: ReadonlySet<decisions.DecisionEvent> = new Set<decisions.DecisionEvent>(['routed', 'passedOn', 'turnAdmitted', 'sent'])
+/** Events of a request without failures; their lines are the first to be omitted. */
+const routineEvents: ReadonlySet<decisions.DecisionEvent> = new Set<decisions.DecisionEvent>(['routed', 'passedOn', 'turnAdmitted', 'sent'])
 
-/** A log that writes within its budget of lines and counts everything. */
+/** Creates a log with separate rate limits for routine lines and for all others. */
 export function createDecisionLog (ports: DecisionLogPorts): DecisionLog {
-  const everyday = new LineBudget(linesPerSecond, burstLines, ports.now)
-  const important = new LineBudget(linesPerSecond * importantFactor, burstLines * importantFactor, ports.now)
-  const left = new Map<decisions.DecisionEvent, number>()
+  const routineLimit = new LineRateLimiter(linesPerSecond, maxBurstLines, ports.now)
+  const importantLimit = new LineRateLimiter(linesPerSecond * importantLimitFactor, maxBurstLines * importantLimitFactor, ports.now)
+  const omittedCounts = new Map<decisions.DecisionEvent, number>()
 
-  function note (decision: decisions.Decision): void {
+  function record (decision: decisions.Decision): void {
     ports.countDecision(decision)
-    const budget = isOrdinary(decision) ? everyday : important
-    if (!budget.take()) {
-      left.set(decision.event, (left.get(decision.event) ?? 0) + 1)
+    const limit = isRoutine(decision) ? routineLimit : importantLimit
+    if (!limit.tryTake()) {
+      omittedCounts.set(decision.event, (omittedCounts.get(decision.event) ?? 0) + 1)
       return
     }
-    if (left.size > 0 && budget === important) tellLeft()
+    if (omittedCounts.size > 0 && limit === importantLimit) logOmittedCounts()
     const { level, message } = decisions.eventTable[decision.event]
     ports.logger[level]({ ...decision }, message)
   }
 
-  function tellLeft (): void {
-    ports.logger.warn({ event: 'linesLeftOut', counts: Object.fromEntries(left) }, 'lines were left out, these are their counts')
-    left.clear()
+  function logOmittedCounts (): void {
+    ports.logger.warn({ event: 'linesLeftOut', counts: Object.fromEntries(omittedCounts) }, 'log lines omitted by the rate limit; counts by event')
+    omittedCounts.clear()
   }
 
-  return { record: note }
+  return { record }
 }
 
-function isOrdinary (decision: decisions.Decision): boolean {
-  return ordinary.has(decision.event) || (decision.event === 'ended' && decision.outcome === 'whole')
+function isRoutine (decision: decisions.Decision): boolean {
+  return routineEvents.has(decision.event) || (decision.event === 'ended' && decision.outcome === 'whole')
 }
 
-/** For tests and tools that want none. */
+/** Creates a log that drops all decisions, for tests and tools. */
 export function createSilentDecisionLog (): DecisionLog {
   return { record: () => {} }
 }
 
-/** A token bucket of lines. */
-class LineBudget {
-  private lines: number
-  private filledAt: number
+/** A token bucket: one token per line. */
+class LineRateLimiter {
+  private availableLines: number
+  private refilledAtMs: number
 
-  constructor (private readonly perSecond: number, private readonly most: number, private readonly now: () => number) {
-    this.lines = most
-    this.filledAt = now()
+  constructor (private readonly linesPerSecond: number, private readonly maxLines: number, private readonly now: () => number) {
+    this.availableLines = maxLines
+    this.refilledAtMs = now()
   }
 
-  take (): boolean {
+  tryTake (): boolean {
     const now = this.now()
-    this.lines = Math.min(this.most, this.lines + (now - this.filledAt) * this.perSecond / 1_000)
-    this.filledAt = now
-    if (this.lines < 1) return false
-    this.lines -= 1
+    this.availableLines = Math.min(this.maxLines, this.availableLines + (now - this.refilledAtMs) * this.linesPerSecond / 1_000)
+    this.refilledAtMs = now
+    if (this.availableLines < 1) return false
+    this.availableLines -= 1
     return true
   }
 }
--- a/packages/base/decision-log/src/decisions.ts
+++ b/packages/base/decision-log/src/decisions.ts
@@ -1,87 +1,87 @@
-/** The decisions that are logged. A new kind needs its fields here, a message and a level below. */
+/** The decisions that are logged. A new event needs its fields in a union here, and its level and message in `eventTable`. */
 import type * as types from '@eelgrasswind/types'
 
-/** A shard, as a line names it. */
+/** A shard, as it is written in a log line. */
 export interface PartitionField {
   readonly topic: string
   readonly part: number
 }
 
-/** A failure of any kind, by its type. */
+/** A failure, as it is written in a log line. */
 export interface FailureField {
   readonly type: string
   readonly status?: number
   readonly detail?: string
 }
 
-interface OfRequest {
+interface RequestFields {
   /** Id of the client attempt. */
   readonly request: string
 }
 
-interface OfTurn extends OfRequest {
+interface TurnFields extends RequestFields {
   readonly program: types.ProgramId
 }
 
-/** Decisions that touch one request. */
+/** Decisions about one request. */
 export type RequestDecision =
-  | OfRequest & { readonly event: 'routed', readonly route: string, readonly service: string, readonly kind: RequestKind, readonly account: types.AccountId | undefined, readonly version: number, readonly leftMs: number }
-  | OfRequest & { readonly event: 'unknownRoute', readonly host: string | undefined, readonly path: string, readonly version: number | undefined }
-  /** No account of this version has the key that came, or none came. */
-  | OfRequest & { readonly event: 'unknownKey', readonly route: string, readonly key: 'none' | 'key' | 'unreadable', readonly version: number, readonly routingAgeMs: number }
-  /** By: who decided. Requests left: of the account's limit, below 0 where it has gone beyond. */
-  | OfRequest & { readonly event: 'overLimit', readonly program: types.ProgramId | undefined, readonly account: types.AccountId, readonly route: string, readonly part: 'first' | 'further', readonly by: 'owner' | 'share', readonly requestsLeft: number, readonly retryAfterMs: number, readonly version: number }
-  /** Passed to the process that owns the program. */
-  | OfTurn & { readonly event: 'passedOn', readonly owner: string, readonly ownersAgeMs: number }
-  | OfTurn & { readonly event: 'turnAdmitted', readonly previous: string | undefined, readonly epoch: number, readonly promptBytes: number, readonly covered: boolean, readonly budgetTokens: number | undefined, readonly maxTokens: number }
-  /** For a turn of which nothing is kept. Covered: stored records counted its tokens before. */
-  | OfTurn & { readonly event: 'tokensReserved', readonly epoch: number, readonly covered: boolean, readonly budgetTokens: number | undefined, readonly maxTokens: number }
-  | OfTurn & { readonly event: 'turnRefused', readonly reason: string, readonly epoch?: number, readonly previous?: string | undefined, readonly detail: Readonly<Record<string, unknown>> }
-  | OfRequest & {
+  | RequestFields & { readonly event: 'routed', readonly route: string, readonly service: string, readonly kind: RequestKind, readonly account: types.AccountId | undefined, readonly version: number, readonly leftMs: number }
+  | RequestFields & { readonly event: 'unknownRoute', readonly host: string | undefined, readonly path: string, readonly version: number | undefined }
+  /** The request has no key, or one that no account of this routing version has. */
+  | RequestFields & { readonly event: 'unknownKey', readonly route: string, readonly key: 'none' | 'key' | 'unreadable', readonly version: number, readonly routingAgeMs: number }
+  /** `by`: who decided. `requestsLeft`: what remains of the account's limit, negative if it is exceeded. */
+  | RequestFields & { readonly event: 'overLimit', readonly program: types.ProgramId | undefined, readonly account: types.AccountId, readonly route: string, readonly part: 'first' | 'further', readonly by: 'owner' | 'share', readonly requestsLeft: number, readonly retryAfterMs: number, readonly version: number }
+  /** Forwarded to the process that owns the program. */
+  | TurnFields & { readonly event: 'passedOn', readonly owner: string, readonly ownersAgeMs: number }
+  | TurnFields & { readonly event: 'turnAdmitted', readonly previous: string | undefined, readonly epoch: number, readonly promptBytes: number, readonly covered: boolean, readonly budgetTokens: number | undefined, readonly maxTokens: number }
+  /** For a turn that is not stored. `covered`: stored records account for its tokens already. */
+  | TurnFields & { readonly event: 'tokensReserved', readonly epoch: number, readonly covered: boolean, readonly budgetTokens: number | undefined, readonly maxTokens: number }
+  | TurnFields & { readonly event: 'turnRefused', readonly reason: string, readonly epoch?: number, readonly previous?: string | undefined, readonly detail: Readonly<Record<string, unknown>> }
+  | RequestFields & {
     readonly event: 'sent'
     readonly attempt: number
     readonly upstream: types.UpstreamId
-    /** Whether it is the upstream that holds the prompt's beginning. */
+    /** Whether it is the upstream that has the prompt's prefix in its cache. */
     readonly preferred: boolean
-    /** Requests of this process that run there, this one included. */
+    /** Requests of this process in flight at the upstream, this one included. */
     readonly running: number
-    /** Requests that other processes have running there, as they last reported. */
+    /** Requests of other processes in flight at the upstream, as last reported. */
     readonly othersRunning: number
     readonly candidates: number
-    /** Age of the list of upstreams. */
+    /** Age of the list of upstreams, in milliseconds. */
     readonly listAgeMs: number
     readonly leftMs: number
   }
-  | OfRequest & {
+  | RequestFields & {
     readonly event: 'sendFailed'
     readonly attempt: number
     readonly upstream: types.UpstreamId
     readonly failure: { readonly tag: string, readonly verdict: types.Verdict, readonly message: string }
-    /** Whether the connection had carried a request before; none where an answer came. */
+    /** Whether the connection was used by an earlier request; undefined if an answer arrived. */
     readonly reused?: boolean | undefined
     readonly next: string
     readonly leftMs: number
   }
-  | OfRequest & { readonly event: 'timedOut', readonly ran: boolean }
-  | OfRequest & { readonly event: 'upstreamSilent', readonly upstream: types.UpstreamId, readonly afterMs: number }
-  | OfRequest & { readonly event: 'peerAnswerLost', readonly peer: string, readonly cause: string, readonly detail: string }
-  | OfRequest & { readonly event: 'streamBroken', readonly ran: boolean, readonly events: number, readonly reason: string }
-  | OfTurn & { readonly event: 'turnSettledElsewhere' }
-  | OfTurn & { readonly event: 'turnNotKept', readonly epoch: number }
-  | OfRequest & { readonly event: 'ended', readonly program?: types.ProgramId | undefined, readonly kind: RequestKind, readonly outcome: RequestOutcome, readonly status: number, readonly reason?: string, readonly firstMs?: number | undefined, readonly tookMs: number }
+  | RequestFields & { readonly event: 'timedOut', readonly ran: boolean }
+  | RequestFields & { readonly event: 'upstreamSilent', readonly upstream: types.UpstreamId, readonly afterMs: number }
+  | RequestFields & { readonly event: 'peerAnswerLost', readonly peer: string, readonly cause: string, readonly detail: string }
+  | RequestFields & { readonly event: 'streamBroken', readonly ran: boolean, readonly events: number, readonly reason: string }
+  | TurnFields & { readonly event: 'turnSettledElsewhere' }
+  | TurnFields & { readonly event: 'turnNotKept', readonly epoch: number }
+  | RequestFields & { readonly event: 'ended', readonly program?: types.ProgramId | undefined, readonly kind: RequestKind, readonly outcome: RequestOutcome, readonly status: number, readonly reason?: string, readonly firstMs?: number | undefined, readonly tookMs: number }
 
-/** Calls and streams are served by any process; a turn by the owner of its program, for a client or for the process that passed it on. */
+/** Calls and streams are served by any process; a turn by the owner of its program, for a client (`turn`) or for the process that forwarded it (`passedOnTurn`). */
 export type RequestKind = 'call' | 'stream' | 'turn' | 'passedOnTurn'
 
-/** How a request ended for its client: answered, refused by this process, cut in the answer, or left by the client. */
+/** How a request ended for its client: answered completely, refused by this process, cut off within the answer, or aborted by the client. */
 export type RequestOutcome = 'whole' | 'refused' | 'brokenOff' | 'clientGone'
 
-/** Decisions that change what this process believes. */
-export type BeliefDecision =
+/** Decisions and events that concern the process and not a single request. */
+export type ProcessDecision =
   | { readonly event: 'started', readonly client: string, readonly peer: string, readonly zone: string, readonly settings: string }
   | { readonly event: 'reload', readonly settings: string, readonly outcome: string }
   | { readonly event: 'stopping', readonly underWay: number }
-  /** The process is stopping already. */
+  /** The process was already stopping. */
   | { readonly event: 'signalIgnored', readonly signal: string }
   | { readonly event: 'stopped', readonly underWay: number, readonly tookMs: number }
   | { readonly event: 'failedToStop', readonly err: unknown }
@@ -89,14 +89,14 @@
   | { readonly event: 'routingUnreadable', readonly version: number | undefined, readonly err: unknown }
   | { readonly event: 'upstream', readonly upstream: types.UpstreamId, readonly service: string, readonly address: string, readonly leaving: boolean }
   | { readonly event: 'upstreamGone', readonly upstream: types.UpstreamId, readonly graceMs: number }
-  /** Marks and requests: of all processes, within the window that decides. */
+  /** `marks` and `requests`: counts of all processes within the window that the decision is based on. */
   | { readonly event: 'upstreamEjected', readonly upstream: types.UpstreamId, readonly mark: string, readonly marks: number, readonly requests: number, readonly forMs: number, readonly source: 'own' | 'peer' }
   | { readonly event: 'loadReportUnreadable', readonly from: string, readonly err: unknown }
   | { readonly event: 'loadNotShared', readonly err: unknown }
   | { readonly event: 'upstreamUnreadable', readonly key: string, readonly err: unknown }
   | { readonly event: 'assignment', readonly generation: number, readonly owned: number, readonly handedOver: number }
   | { readonly event: 'leaseNotRenewed', readonly failure: FailureField }
-  /** Whoever counts the accounts of the group can't be asked. */
+  /** The process that counts the requests of the group's accounts can't be reached. */
   | { readonly event: 'meterOwnerAway', readonly group: number, readonly why: string }
   | { readonly event: 'groupLeft', readonly outcome: string }
   | { readonly event: 'memberEvicted', readonly member: string, readonly why: 'ended' | 'silent', readonly outcome: string }
@@ -113,73 +113,73 @@
   | { readonly event: 'cutOff', readonly peers: number }
   | { readonly event: 'reachable', readonly peers: number }
   | { readonly event: 'shardUnreadable', readonly partition: PartitionField, readonly epoch: number, readonly err: unknown }
-  /** A fault of ours. */
+  /** An error that the code does not expect: a bug. */
   | { readonly event: 'unexpected', readonly err: unknown }
   | { readonly event: 'peerCallFailed', readonly err: unknown }
 
-/** Everything that is logged. */
-export type Decision = RequestDecision | BeliefDecision
+/** Any decision that is logged. */
+export type Decision = RequestDecision | ProcessDecision
 
-/** Name of a decision, as the field `event` of its line. */
+/** Name of a decision: the field `event` of its line. */
 export type DecisionEvent = Decision['event']
 
-/** How the line of an event is written. */
+/** Level and message of the line of an event. */
 export interface EventInfo {
   readonly level: 'info' | 'warn' | 'error'
   readonly message: string
 }
 
-/** Level and message of every event. */
+/** Level and message of the line of every event. */
 export const eventTable: Readonly<Record<DecisionEvent, EventInfo>> = {
   routed: { level: 'info', message: 'route chosen' },
   unknownRoute: { level: 'info', message: 'no route matches' },
   unknownKey: { level: 'info', message: 'no client account has the key of the request' },
-  overLimit: { level: 'info', message: 'the client account has used its limit up' },
-  passedOn: { level: 'info', message: 'passed on to the owner of the program' },
-  turnAdmitted: { level: 'info', message: 'turn admitted, its tokens are being reserved' },
+  overLimit: { level: 'info', message: 'the client account has used up its limit' },
+  passedOn: { level: 'info', message: 'forwarded to the owner of the program' },
+  turnAdmitted: { level: 'info', message: 'turn admitted; reserving its tokens' },
   tokensReserved: { level: 'info', message: 'tokens of a turn reserved' },
   turnRefused: { level: 'info', message: 'turn refused' },
   sent: { level: 'info', message: 'sent to an upstream' },
   sendFailed: { level: 'warn', message: 'no usable answer from the upstream' },
-  upstreamSilent: { level: 'warn', message: 'nothing comes from the upstream, new requests avoid it' },
-  timedOut: { level: 'warn', message: 'no answer in time' },
-  peerAnswerLost: { level: 'warn', message: 'no whole answer from the owner of the program' },
-  streamBroken: { level: 'warn', message: 'stream ended without a whole answer' },
-  turnSettledElsewhere: { level: 'info', message: 'turn kept by the next owner of its shard' },
-  turnNotKept: { level: 'warn', message: 'turn could not be kept, its answer is broken off' },
+  upstreamSilent: { level: 'warn', message: 'no data from the upstream; new requests avoid it' },
+  timedOut: { level: 'warn', message: 'request timed out' },
+  peerAnswerLost: { level: 'warn', message: 'no complete answer from the owner of the program' },
+  streamBroken: { level: 'warn', message: 'stream ended without a complete answer' },
+  turnSettledElsewhere: { level: 'info', message: 'turn stored by the next owner of its shard' },
+  turnNotKept: { level: 'warn', message: 'turn could not be stored; its answer is cut off' },
   ended: { level: 'info', message: 'request ended' },
   started: { level: 'info', message: 'started' },
   reload: { level: 'info', message: 'settings read again' },
   stopping: { level: 'info', message: 'stopping' },
-  signalIgnored: { level: 'info', message: 'signal came while stopping' },
+  signalIgnored: { level: 'info', message: 'signal ignored; already stopping' },
   stopped: { level: 'info', message: 'stopped' },
-  failedToStop: { level: 'error', message: 'did not end cleanly' },
-  routing: { level: 'info', message: 'routing in force' },
-  routingUnreadable: { level: 'error', message: 'routing not understood, the former one stays in force' },
+  failedToStop: { level: 'error', message: 'graceful shutdown failed' },
+  routing: { level: 'info', message: 'new routing in effect' },
+  routingUnreadable: { level: 'error', message: 'invalid routing document; the previous routing stays in effect' },
   upstream: { level: 'info', message: 'upstream listed' },
   upstreamGone: { level: 'info', message: 'upstream no longer listed' },
-  upstreamEjected: { level: 'warn', message: 'upstream fails or lags far more often than usual, new requests avoid it' },
-  loadReportUnreadable: { level: 'warn', message: 'load report of another process not understood' },
+  upstreamEjected: { level: 'warn', message: 'upstream fails or is slow far more often than usual; new requests avoid it' },
+  loadReportUnreadable: { level: 'warn', message: 'invalid load report from another process' },
   loadNotShared: { level: 'warn', message: 'load report could not be sent' },
-  upstreamUnreadable: { level: 'error', message: 'entry of an upstream not understood' },
-  assignment: { level: 'info', message: 'shards dealt anew' },
+  upstreamUnreadable: { level: 'error', message: 'invalid entry of an upstream' },
+  assignment: { level: 'info', message: 'shards reassigned' },
   leaseNotRenewed: { level: 'warn', message: 'lease not renewed' },
-  meterOwnerAway: { level: 'warn', message: 'requests of client accounts are not counted for a moment, this host keeps to its share' },
-  groupLeft: { level: 'info', message: 'left the group that shares the shards' },
-  memberEvicted: { level: 'warn', message: 'a member was given up, its lease was given back' },
-  ownersNotRead: { level: 'warn', message: 'owners of the shards not read' },
+  meterOwnerAway: { level: 'warn', message: 'no answer from the process that counts requests of client accounts; this host applies its share of the limits' },
+  groupLeft: { level: 'info', message: 'left the group of shard owners' },
+  memberEvicted: { level: 'warn', message: 'member evicted; its lease was released' },
+  ownersNotRead: { level: 'warn', message: 'could not read the owners of the shards' },
   shardOpened: { level: 'info', message: 'shard opened' },
-  shardNotRead: { level: 'warn', message: 'shard not read yet' },
-  shardLost: { level: 'warn', message: 'shard lost' },
+  shardNotRead: { level: 'warn', message: 'could not read the shard; retrying' },
+  shardLost: { level: 'warn', message: 'ownership of the shard lost' },
   appendUnanswered: { level: 'warn', message: 'append not acknowledged' },
-  storeAway: { level: 'warn', message: 'store does not answer' },
+  storeAway: { level: 'warn', message: 'no answer from the store' },
   storeBack: { level: 'info', message: 'store answers again' },
   changesMissed: { level: 'warn', message: 'changes expired before they were read' },
-  storeRelayed: { level: 'warn', message: 'the store does not serve this process, calls go through a peer' },
+  storeRelayed: { level: 'warn', message: 'the store does not serve this process; calls go through a peer' },
   storeDirect: { level: 'info', message: 'the store serves this process again' },
-  cutOff: { level: 'warn', message: 'cut off from the other processes, giving its shards up' },
+  cutOff: { level: 'warn', message: 'cut off from the other processes; releasing the shards of this process' },
   reachable: { level: 'info', message: 'the other processes answer again' },
-  shardUnreadable: { level: 'error', message: 'a record of the shard is not understood, the shard is not served' },
+  shardUnreadable: { level: 'error', message: 'invalid record in the shard; the shard is not served' },
   unexpected: { level: 'error', message: 'unexpected error' },
-  peerCallFailed: { level: 'error', message: 'call of a peer failed' }
+  peerCallFailed: { level: 'error', message: 'peer call failed' }
 }
