--- a/packages/base/logger/src/bounded-lines.test.ts
+++ b/packages/base/logger/src/bounded-lines.test.ts
@@ -6,7 +6,7 @@
 import tap from 'tap'
 import * as boundedLines from './bounded-lines.js'
 
-tap.test('lines arrive whole and in order', async (t) => {
+tap.test('lines are written completely and in order', async (t) => {
   const file = path.join(fs.mkdtempSync(path.join(os.tmpdir(), 'lines-')), 'out')
   const fd = fs.openSync(file, 'w')
   const lines = boundedLines.createBoundedLineWriter(fd)
@@ -18,7 +18,7 @@
   t.equal(lines.getDroppedCount(), 0)
 })
 
-tap.test('a reader that never reads holds nothing up and costs lines', async (t) => {
+tap.test('a reader that never reads does not block the event loop; lines are dropped', async (t) => {
   const module = url.fileURLToPath(new URL('./bounded-lines.js', import.meta.url))
   const script = `
     import { createBoundedLineWriter } from ${JSON.stringify(module)}
@@ -33,11 +33,11 @@
     }, 5)
   `
   const child = childProcess.spawn(process.execPath, ['--input-type=module', '-e', script], { stdio: ['ignore', 'pipe', 'pipe'] })
-  // Standard output is piped and not read.
+  // Nothing reads the pipe of standard output.
   child.stdout.pause()
   let dropped = ''
   child.stderr.on('data', (chunk: Buffer) => { dropped += chunk.toString() })
   const code = await new Promise((resolve) => { child.on('exit', resolve) })
-  t.equal(code, 0, 'the loop ran on to its end')
+  t.equal(code, 0, 'the event loop kept running to the end')
   t.ok(Number(dropped) > 500, `${dropped} lines were dropped`)
 })
--- a/packages/base/logger/src/bounded-lines.ts
+++ b/packages/base/logger/src/bounded-lines.ts
@@ -1,95 +1,97 @@
-/** Writes lines to a file descriptor without ever waiting for its reader. */
+/** Writes lines to a file descriptor without blocking on its reader; the buffer is bounded. */
 import * as fs from 'node:fs'
 
 export interface BoundedLineWriter {
-  /** Takes a line; drops it where too much is waiting already. */
+  /** Queues a line, or drops it if the buffer is full. */
   readonly write: (line: string) => void
-  /** Lines that were dropped since the start. */
+  /** Returns the number of lines dropped since the start. */
   readonly getDroppedCount: () => number
-  /** Resolves when all that waits is written, or cannot be. */
+  /** Resolves when all buffered lines are written, or can't be. */
   readonly flush: () => Promise<void>
 }
 
 /**
- * Lines that come within this time, in ms, go out in one write: a write wakes a thread of the pool and the loop again,
- * and a process of 170 lines a second makes 20 writes of them instead of 120. A process that is killed loses these lines.
+ * Lines that arrive within this time, in milliseconds, are written together, since each write wakes a thread of the pool
+ * and then the event loop: a process with 170 lines a second makes 20 writes instead of 120. A process that is killed
+ * loses these lines.
  */
-const gatherMs = 50
-/** Bytes that may wait for a slow reader: some seconds of lines. */
+const batchDelayMs = 50
+/** Buffer limit for a slow reader, in bytes: some seconds of lines. */
 const defaultMaxBytes = 1_000_000
 
 /**
- * One write is under way at a time, on a thread of the runtime's pool: a full pipe holds that thread, never the loop.
- * A reader that stops reading costs lines; the next line that is written tells how many. The descriptor is one that the
- * runtime has opened, such as `process.stdout.fd`: a blocking pipe that nobody reads would hold the process at its exit.
+ * One write is in flight at a time, on a thread of the runtime's pool: a full pipe blocks that thread, never the event
+ * loop. If the reader stops reading, lines are dropped; a `linesDropped` line before the next line says how many. The
+ * descriptor must be one that the runtime opened, such as `process.stdout.fd`: a blocking pipe without a reader would
+ * keep the process from exiting.
  */
 export function createBoundedLineWriter (fd: number, maxBytes = defaultMaxBytes): BoundedLineWriter {
-  let waiting: string[] = []
-  let waitingBytes = 0
-  let writing = false
-  let droppedLines = 0
-  let untold = 0
-  let gathering: NodeJS.Timeout | undefined
-  const idle: (() => void)[] = []
+  let bufferedLines: string[] = []
+  let bufferedBytes = 0
+  let isWriting = false
+  let droppedCount = 0
+  let unreportedCount = 0
+  let batchTimer: NodeJS.Timeout | undefined
+  const idleCallbacks: (() => void)[] = []
 
   function write (line: string): void {
-    if (waitingBytes + line.length > maxBytes) {
-      droppedLines += 1
-      untold += 1
+    if (bufferedBytes + line.length > maxBytes) {
+      droppedCount += 1
+      unreportedCount += 1
       return
     }
-    if (untold > 0) {
-      const told = `${JSON.stringify({ event: 'linesDropped', count: untold, msg: 'standard output was not read in time' })}\n`
-      untold = 0
-      add(told)
+    if (unreportedCount > 0) {
+      const droppedReport = `${JSON.stringify({ event: 'linesDropped', count: unreportedCount, msg: 'standard output was not read in time' })}\n`
+      unreportedCount = 0
+      bufferLine(droppedReport)
     }
-    add(line)
-    if (writing) return
-    writing = true
-    gathering = setTimeout(next, gatherMs)
+    bufferLine(line)
+    if (isWriting) return
+    isWriting = true
+    batchTimer = setTimeout(writeNextBatch, batchDelayMs)
   }
 
-  function add (line: string): void {
-    waiting.push(line)
-    waitingBytes += line.length
+  function bufferLine (line: string): void {
+    bufferedLines.push(line)
+    bufferedBytes += line.length
   }
 
-  function next (): void {
-    clearTimeout(gathering)
-    gathering = undefined
-    if (waiting.length === 0) {
-      writing = false
-      for (const resolve of idle.splice(0)) resolve()
+  function writeNextBatch (): void {
+    clearTimeout(batchTimer)
+    batchTimer = undefined
+    if (bufferedLines.length === 0) {
+      isWriting = false
+      for (const resolve of idleCallbacks.splice(0)) resolve()
       return
     }
-    writing = true
-    const chunk = Buffer.from(waiting.join(''))
-    waiting = []
-    waitingBytes = 0
+    isWriting = true
+    const chunk = Buffer.from(bufferedLines.join(''))
+    bufferedLines = []
+    bufferedBytes = 0
     writeAll(chunk)
   }
 
   function writeAll (chunk: Buffer): void {
     fs.write(fd, chunk, (err, written) => {
-      const code = err === null ? undefined : err.code
-      if (code === 'EAGAIN') {
+      const errorCode = err === null ? undefined : err.code
+      if (errorCode === 'EAGAIN') {
         setTimeout(() => { writeAll(chunk) }, 5).unref()
         return
       }
-      // Nobody reads any more: nothing can be told, so the lines go.
-      if (err !== null || written === chunk.length) next()
+      // The reader is gone: these lines are lost, and there is nowhere to report that.
+      if (err !== null || written === chunk.length) writeNextBatch()
       else writeAll(chunk.subarray(written))
     })
   }
 
   return {
     write,
-    getDroppedCount: () => droppedLines,
+    getDroppedCount: () => droppedCount,
     flush () {
-      if (!writing) return Promise.resolve()
-      const done = new Promise<void>((resolve) => { idle.push(resolve) })
-      if (gathering !== undefined) next()
-      return done
+      if (!isWriting) return Promise.resolve()
+      const flushed = new Promise<void>((resolve) => { idleCallbacks.push(resolve) })
+      if (batchTimer !== undefined) writeNextBatch()
+      return flushed
     }
   }
 }
--- a/packages/base/logger/src/index.ts
+++ b/packages/base/logger/src/index.ts
@@ -1,3 +1,3 @@
-/** Structured logs by bunyan, with the ids of program, call and host. */
+/** Structured logs, written by bunyan, with the ids of host, program and call. */
 export * from './logger.js'
 export * from './bounded-lines.js'
--- a/packages/base/logger/src/logger.test.ts
+++ b/packages/base/logger/src/logger.test.ts
@@ -5,7 +5,7 @@
 
 const host = 'h1' as types.HostId
 
-function capture (level: logger.LogLevel): { log: logger.Logger, lines: () => Record<string, unknown>[], raw: () => string } {
+function captureLogger (level: logger.LogLevel): { log: logger.Logger, lines: () => Record<string, unknown>[], raw: () => string } {
   const sink = new stream.PassThrough()
   const log = logger.createLogger({ name: 'entry', host, level, stream: sink })
   let text = ''
@@ -14,8 +14,8 @@
   return { log, lines, raw: () => text }
 }
 
-tap.test('children carry their ids', async (t) => {
-  const { log, lines } = capture('info')
+tap.test('records of child loggers have their ids', async (t) => {
+  const { log, lines } = captureLogger('info')
   const call = log.child({ program: 'p1' as types.ProgramId }).child({ call: 'k1' as types.RequestKey })
   call.info({ tokens: 3 }, 'done')
   log.info({}, 'plain')
@@ -24,25 +24,25 @@
 })
 
 tap.test('a record below the level is dropped', async (t) => {
-  const { log, lines } = capture('warn')
+  const { log, lines } = captureLogger('warn')
   log.info({}, 'dropped')
   log.error({}, 'kept')
   t.same(lines().map((line) => line['msg']), ['kept'])
 })
 
 tap.test('an error stays on one line with its stack and causes', async (t) => {
-  const { log, lines, raw } = capture('info')
+  const { log, lines, raw } = captureLogger('info')
   const cause = Object.assign(new Error('refused'), { code: 'ECONNREFUSED' })
   log.error({ err: new Error('call failed', { cause }) }, 'failed')
   t.equal(raw().trimEnd().split('\n').length, 1)
   t.match(lines()[0], { err: { name: 'Error', message: 'call failed', stack: /logger\.test/, cause: { code: 'ECONNREFUSED' } } })
 })
 
-tap.test('whatever was thrown can be logged', async (t) => {
-  const { log, lines } = capture('info')
-  const loop = new Error('loop')
-  loop.cause = loop
-  for (const err of ['text', null, undefined, 7, Symbol('s'), loop]) log.error({ err }, 'failed')
+tap.test('any thrown value can be logged', async (t) => {
+  const { log, lines } = captureLogger('info')
+  const selfCaused = new Error('loop')
+  selfCaused.cause = selfCaused
+  for (const err of ['text', null, undefined, 7, Symbol('s'), selfCaused]) log.error({ err }, 'failed')
   t.equal(lines().length, 6)
 })
 
--- a/packages/base/logger/src/logger.ts
+++ b/packages/base/logger/src/logger.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON line a record, with the ids of host, program and call. */
+/** Structured logs: one JSON line per record, with the ids of host, program and call. */
 import Bunyan from 'bunyan'
 import type * as types from '@eelgrasswind/types'
 
@@ -34,11 +34,11 @@
   readonly name: string
   readonly host: types.HostId
   readonly level: LogLevel
-  /** Where the lines go; standard output where left out. */
+  /** Where the lines are written; standard output by default. */
   readonly stream?: NodeJS.WritableStream
 }
 
-/** What a log line says of an error: the stack stays inside one JSON text. */
+/** An error as it is written in a log line; the stack is one JSON string. */
 interface LoggedError {
   readonly name: string
   readonly message: string
@@ -47,7 +47,7 @@
   readonly cause?: LoggedError
 }
 
-/** Causes that are followed; an error may name itself as its cause. */
+/** Maximum depth of causes; an error may be its own cause. */
 const maxCauses = 4
 
 function toLoggedError (err: unknown, depth = 0): LoggedError {
@@ -63,32 +63,32 @@
   }
 }
 
-function wrap (inner: Bunyan): Logger {
+function wrapBunyan (bunyan: Bunyan): Logger {
   return {
-    trace: (fields, message) => { inner.trace(fields, message) },
-    debug: (fields, message) => { inner.debug(fields, message) },
-    info: (fields, message) => { inner.info(fields, message) },
-    warn: (fields, message) => { inner.warn(fields, message) },
-    error: (fields, message) => { inner.error(fields, message) },
-    fatal: (fields, message) => { inner.fatal(fields, message) },
-    child: (ids) => wrap(inner.child(ids, true))
+    trace: (fields, message) => { bunyan.trace(fields, message) },
+    debug: (fields, message) => { bunyan.debug(fields, message) },
+    info: (fields, message) => { bunyan.info(fields, message) },
+    warn: (fields, message) => { bunyan.warn(fields, message) },
+    error: (fields, message) => { bunyan.error(fields, message) },
+    fatal: (fields, message) => { bunyan.fatal(fields, message) },
+    child: (ids) => wrapBunyan(bunyan.child(ids, true))
   }
 }
 
 export function createLogger (settings: LoggerSettings): Logger {
-  const inner = Bunyan.createLogger({
+  const bunyan = Bunyan.createLogger({
     name: settings.name,
     host: settings.host,
     level: settings.level,
     stream: settings.stream ?? process.stdout,
     serializers: { err: (err: unknown) => toLoggedError(err) }
   })
-  return wrap(inner)
+  return wrapBunyan(bunyan)
 }
 
-/** Drops every record. */
+/** Creates a logger that drops every record. */
 export function createSilentLogger (): Logger {
-  const drop = (): void => {}
-  const silent: Logger = { trace: drop, debug: drop, info: drop, warn: drop, error: drop, fatal: drop, child: () => silent }
+  const dropRecord = (): void => {}
+  const silent: Logger = { trace: dropRecord, debug: dropRecord, info: dropRecord, warn: dropRecord, error: dropRecord, fatal: dropRecord, child: () => silent }
   return silent
 }
--- a/packages/base/metrics/src/index.ts
+++ b/packages/base/metrics/src/index.ts
@@ -1,3 +1,3 @@
-/** Metrics by hot-shots over UDP. */
+/** Metrics, sent over UDP by hot-shots. */
 export * from './metric-table.js'
 export * from './metrics.js'
--- a/packages/base/metrics/src/metric-table.ts
+++ b/packages/base/metrics/src/metric-table.ts
@@ -1,4 +1,4 @@
-/** Every metric that the system sends: its kind, its unit and what it means. docs/metrics.md shows the same table. */
+/** Every metric that the system sends: its type, unit and meaning. docs/metrics.md has the same table. */
 
 interface Metric {
   readonly type: 'counter' | 'gauge' | 'timing'
@@ -6,7 +6,7 @@
   readonly meaning: string
 }
 
-/** The closed list of metrics; names are sent behind the configured prefix. */
+/** All metrics; names are sent with the configured prefix. */
 export const metricTable = {
   'request.finished': { type: 'counter', unit: 'requests', meaning: 'Requests of callers that an entry answered; tags target and result.' },
   'request.latency': { type: 'timing', unit: 'ms', meaning: 'Time from the arrival of a request at an entry to its answer; tag target.' },
@@ -42,14 +42,14 @@
   'process.loop_delay': { type: 'gauge', unit: 'ms', meaning: 'Longest delay of the event loop over the last period.' }
 } as const satisfies Readonly<Record<string, Metric>>
 
-type Table = typeof metricTable
-type NamesOf<Type extends Metric['type']> = { [Name in keyof Table]: Table[Name]['type'] extends Type ? Name : never }[keyof Table]
+type MetricTable = typeof metricTable
+type NamesOf<Type extends Metric['type']> = { [Name in keyof MetricTable]: MetricTable[Name]['type'] extends Type ? Name : never }[keyof MetricTable]
 
 export type CounterName = NamesOf<'counter'>
 export type GaugeName = NamesOf<'gauge'>
 export type TimingName = NamesOf<'timing'>
 
-/** Tags that a value may carry; each has few different values. */
+/** Tags of a value; each has low cardinality. */
 export interface MetricTags {
   readonly kind?: string
   readonly target?: string
