--- a/packages/base/timer-service/src/index.ts
+++ b/packages/base/timer-service/src/index.ts
@@ -1,4 +1,4 @@
-/** The one source of time: a real clock and a manual one that parts subscribe to. */
+/** Clock and timers behind one interface: those of the process, and manual ones for tests. */
 export * from './timer-service.js'
 export * from './real-timers.js'
 export * from './manual-timers.js'
--- a/packages/base/timer-service/src/manual-timers.test.ts
+++ b/packages/base/timer-service/src/manual-timers.test.ts
@@ -4,26 +4,26 @@
 
 tap.test('runs timers in order of due time', async (t) => {
   const timers = manual.createManualTimers(0)
-  const seen: string[] = []
-  timers.after(20, () => seen.push('b'))
-  timers.after(10, () => seen.push('a'))
-  timers.after(20, () => seen.push('c'))
+  const calls: string[] = []
+  timers.after(20, () => calls.push('b'))
+  timers.after(10, () => calls.push('a'))
+  timers.after(20, () => calls.push('c'))
   timers.advance(20)
-  t.same(seen, ['a', 'b', 'c'])
+  t.same(calls, ['a', 'b', 'c'])
 })
 
 tap.test('cancelled timers do not run', async (t) => {
   const timers = manual.createManualTimers(0)
   let runs = 0
-  const sub = timers.every(10, () => { runs += 1 })
+  const subscription = timers.every(10, () => { runs += 1 })
   timers.advance(35)
-  sub.cancel()
+  subscription.cancel()
   timers.advance(100)
   t.equal(runs, 3)
   t.equal(timers.getNextDueMs(), undefined)
 })
 
-tap.test('a result in time counts and leaves no timer, a later one does not count', async (t) => {
+tap.test('withTimeout returns a result in time and cancels its timer, and undefined for a late one', async (t) => {
   const timers = manual.createManualTimers(0)
   t.equal(await timerService.withTimeout(timers, Promise.resolve('in time'), 10), 'in time')
   t.equal(timers.getNextDueMs(), undefined)
--- a/packages/base/timer-service/src/manual-timers.ts
+++ b/packages/base/timer-service/src/manual-timers.ts
@@ -1,124 +1,124 @@
-/** Timers that move only when told to, for tests and for comparing rules. */
+/** Timers whose time moves only by calls of `advance`, for tests and simulations. */
 import type * as timerService from './timer-service.js'
 
-interface Pending {
-  readonly due: number
-  readonly order: number
+interface PendingTimer {
+  readonly dueMs: number
+  readonly insertionOrder: number
   readonly run: () => void
-  cancelled: boolean
+  isCancelled: boolean
 }
 
 export interface ManualTimers extends timerService.TimerService {
-  /** Moves time forward and runs what falls due on the way, in order of due time. */
+  /** Advances the time by `ms` milliseconds and runs the timers that become due, in order of due time. */
   advance: (ms: number) => void
-  /** As advance, but lets pending promises settle after each timer. */
+  /** Like `advance`, but lets pending promises settle after each timer. */
   advanceAsync: (ms: number) => Promise<void>
-  /** Due time of the next timer, or undefined. */
+  /** Due time of the next timer in milliseconds, or undefined. */
   getNextDueMs: () => number | undefined
 }
 
-/** Lets promise callbacks that are already due run. */
+/** Runs the promise callbacks that are already queued. */
 async function settlePromises (): Promise<void> {
   await new Promise<void>((resolve) => { setImmediate(resolve) })
 }
 
 export function createManualTimers (startMs = 1_000_000): ManualTimers {
-  let time = startMs
-  let order = 0
-  const heap: Pending[] = []
+  let currentMs = startMs
+  let nextOrder = 0
+  const heap: PendingTimer[] = []
 
-  function before (a: Pending, b: Pending): boolean {
-    return a.due < b.due || (a.due === b.due && a.order < b.order)
+  function isBefore (a: PendingTimer, b: PendingTimer): boolean {
+    return a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.insertionOrder < b.insertionOrder)
   }
 
-  function push (item: Pending): void {
+  function push (item: PendingTimer): void {
     let at = heap.push(item) - 1
     while (at > 0) {
       const parent = (at - 1) >> 1
-      if (!before(heap[at]!, heap[parent]!)) return
+      if (!isBefore(heap[at]!, heap[parent]!)) return
       swap(at, parent)
       at = parent
     }
   }
 
-  function pop (): Pending | undefined {
+  function pop (): PendingTimer | undefined {
     const top = heap[0]
     const last = heap.pop()
     if (top === undefined || last === undefined || heap.length === 0) return top
     heap[0] = last
-    sink()
+    siftDown()
     return top
   }
 
-  function sink (): void {
+  function siftDown (): void {
     let at = 0
     for (;;) {
       const left = 2 * at + 1
       if (left >= heap.length) return
       const right = left + 1
-      const child = right < heap.length && before(heap[right]!, heap[left]!) ? right : left
-      if (!before(heap[child]!, heap[at]!)) return
+      const child = right < heap.length && isBefore(heap[right]!, heap[left]!) ? right : left
+      if (!isBefore(heap[child]!, heap[at]!)) return
       swap(at, child)
       at = child
     }
   }
 
   function swap (a: number, b: number): void {
-    const held = heap[a]!
+    const swapped = heap[a]!
     heap[a] = heap[b]!
-    heap[b] = held
+    heap[b] = swapped
   }
 
   function dropCancelled (): void {
-    while (heap[0]?.cancelled === true) pop()
+    while (heap[0]?.isCancelled === true) pop()
   }
 
-  function takeDue (until: number): Pending | undefined {
+  function takeDue (untilMs: number): PendingTimer | undefined {
     dropCancelled()
     const next = heap[0]
-    if (next === undefined || next.due > until) return undefined
+    if (next === undefined || next.dueMs > untilMs) return undefined
     pop()
-    time = Math.max(time, next.due)
+    currentMs = Math.max(currentMs, next.dueMs)
     return next
   }
 
   function after (delayMs: number, run: () => void): timerService.Subscription {
-    const item: Pending = { due: time + Math.max(0, delayMs), order: order++, run, cancelled: false }
+    const item: PendingTimer = { dueMs: currentMs + Math.max(0, delayMs), insertionOrder: nextOrder++, run, isCancelled: false }
     push(item)
-    return { cancel: () => { item.cancelled = true } }
+    return { cancel: () => { item.isCancelled = true } }
   }
 
   function every (periodMs: number, run: () => void): timerService.Subscription {
-    let current = after(periodMs, tick)
-    let stopped = false
-    function tick (): void {
-      if (stopped) return
-      current = after(periodMs, tick)
+    let currentTimer = after(periodMs, runPeriod)
+    let isStopped = false
+    function runPeriod (): void {
+      if (isStopped) return
+      currentTimer = after(periodMs, runPeriod)
       run()
     }
-    return { cancel: () => { stopped = true; current.cancel() } }
+    return { cancel: () => { isStopped = true; currentTimer.cancel() } }
   }
 
   function advance (ms: number): void {
-    const until = time + ms
-    for (let item = takeDue(until); item !== undefined; item = takeDue(until)) item.run()
-    time = until
+    const untilMs = currentMs + ms
+    for (let item = takeDue(untilMs); item !== undefined; item = takeDue(untilMs)) item.run()
+    currentMs = untilMs
   }
 
   async function advanceAsync (ms: number): Promise<void> {
-    const until = time + ms
+    const untilMs = currentMs + ms
     await settlePromises()
-    for (let item = takeDue(until); item !== undefined; item = takeDue(until)) {
+    for (let item = takeDue(untilMs); item !== undefined; item = takeDue(untilMs)) {
       item.run()
       await settlePromises()
     }
-    time = until
+    currentMs = untilMs
   }
 
-  function nextDue (): number | undefined {
+  function getNextDueMs (): number | undefined {
     dropCancelled()
-    return heap[0]?.due
+    return heap[0]?.dueMs
   }
 
-  return { now: () => time, monotonic: () => time, after, every, advance, advanceAsync, getNextDueMs: nextDue }
+  return { now: () => currentMs, monotonic: () => currentMs, after, every, advance, advanceAsync, getNextDueMs }
 }
--- a/packages/base/timer-service/src/real-timers.ts
+++ b/packages/base/timer-service/src/real-timers.ts
@@ -1,4 +1,4 @@
-/** Timers on the process clock. They do not keep the process alive. */
+/** Timers of the runtime. Periodic timers do not keep the process alive. */
 import type * as timerService from './timer-service.js'
 
 export function createRealTimers (): timerService.TimerService {
--- a/packages/base/timer-service/src/timer-service.ts
+++ b/packages/base/timer-service/src/timer-service.ts
@@ -1,4 +1,4 @@
-/** What parts of the system may ask of time. All times are in milliseconds. */
+/** Interface of clock and timers. All times are in milliseconds. */
 
 export interface Subscription {
   /** Stops the timer; safe to call twice. */
@@ -6,28 +6,28 @@
 }
 
 export interface TimerService {
-  /** Wall time, milliseconds since the epoch. May jump; only for what is compared between processes. */
+  /** Wall-clock time, milliseconds since the epoch. May jump; use it only for times that processes compare. */
   now: () => number
-  /** Time that never goes back, in milliseconds from an arbitrary start. */
+  /** Monotonic time, in milliseconds from an arbitrary start. */
   monotonic: () => number
-  /** Calls once after a delay. */
+  /** Calls `run` once after a delay. */
   after: (delayMs: number, run: () => void) => Subscription
-  /** Calls again and again, the first time after one period. */
+  /** Calls `run` periodically, the first time after one period. */
   every: (periodMs: number, run: () => void) => Subscription
 }
 
-/** A promise that resolves after a delay. */
+/** Returns a promise that resolves after a delay. */
 export function sleep (timers: TimerService, delayMs: number): Promise<void> {
   return new Promise((resolve) => { timers.after(delayMs, resolve) })
 }
 
-/** The result, or `undefined` where it takes longer than the time given, in ms. */
-export async function withTimeout<T> (timers: TimerService, result: Promise<T>, limitMs: number): Promise<T | undefined> {
-  let limit: Subscription | undefined
-  const late = new Promise<undefined>((resolve) => { limit = timers.after(limitMs, () => { resolve(undefined) }) })
+/** Resolves with the result, or with `undefined` if that takes longer than `limitMs` milliseconds. */
+export async function withTimeout<T> (timers: TimerService, promise: Promise<T>, limitMs: number): Promise<T | undefined> {
+  let timer: Subscription | undefined
+  const timedOut = new Promise<undefined>((resolve) => { timer = timers.after(limitMs, () => { resolve(undefined) }) })
   try {
-    return await Promise.race([result, late])
+    return await Promise.race([promise, timedOut])
   } finally {
-    limit?.cancel()
+    timer?.cancel()
   }
 }
--- a/packages/base/tracing/src/span.ts
+++ b/packages/base/tracing/src/span.ts
@@ -1,22 +1,22 @@
-/** What a part of the system may do with spans, whether they are sent or not. */
+/** Interface of tracing, the same whether spans are exported or not. */
 
 /** How a hop ended. */
 export type SpanStatus = 'ok' | 'error'
 
-/** What a span says of its hop. */
+/** Attributes of a span. */
 export type SpanAttributes = Readonly<Record<string, string | number | boolean>>
 
 /** The span of one hop. */
 export interface Span {
-  /** To be passed on, so that the next hop's span becomes a child of this one. */
+  /** Value of the `traceparent` header for the next hop, whose span becomes a child of this one. */
   readonly traceparent: string
   end: (status: SpanStatus, attributes?: SpanAttributes) => void
 }
 
-/** Where spans begin. */
+/** Starts spans. */
 export interface Tracing {
-  /** Starts a span under the caller's one, or a new trace where the caller names none. */
+  /** Starts a span as a child of the caller's, or a new trace if the caller has none. */
   startSpan: (name: string, parentTraceparent?: string, attributes?: SpanAttributes) => Span
-  /** Sends the spans that have ended. */
+  /** Exports the spans that have ended. */
   close: () => Promise<void>
 }
--- a/packages/base/tracing/src/traceparent.ts
+++ b/packages/base/tracing/src/traceparent.ts
@@ -9,18 +9,18 @@
   readonly sampled: boolean
 }
 
-const pattern = /^([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?$/
-const noTraceId = '0'.repeat(32)
-const noSpanId = '0'.repeat(16)
+const traceparentPattern = /^([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?$/
+const invalidTraceId = '0'.repeat(32)
+const invalidSpanId = '0'.repeat(16)
 const sampledFlag = 1
 
-/** The context that a header carries; undefined where it is missing or not valid. */
+/** Parses a header; undefined if it is missing or invalid. */
 export function parseTraceparent (header: string | undefined): TraceContext | undefined {
-  const match = header === undefined ? null : pattern.exec(header)
+  const match = header === undefined ? null : traceparentPattern.exec(header)
   if (match === null) return undefined
-  const [, version, traceId, spanId, flags, rest] = match
-  if (version === 'ff' || (version === '00' && rest !== undefined)) return undefined
-  if (traceId === noTraceId || spanId === noSpanId) return undefined
+  const [, version, traceId, spanId, flags, extraFields] = match
+  if (version === 'ff' || (version === '00' && extraFields !== undefined)) return undefined
+  if (traceId === invalidTraceId || spanId === invalidSpanId) return undefined
   return { traceId: traceId!, spanId: spanId!, sampled: (parseInt(flags!, 16) & sampledFlag) !== 0 }
 }
 
@@ -28,25 +28,25 @@
   return `00-${context.traceId}-${context.spanId}-${context.sampled ? '01' : '00'}`
 }
 
-const poolBytes = 4096
-const pool = Buffer.alloc(poolBytes)
-let used = poolBytes
+const randomPoolBytes = 4096
+const randomPool = Buffer.alloc(randomPoolBytes)
+let usedBytes = randomPoolBytes
 
-/** Random hex of so many bytes; never all zero. Draws randomness for many ids at once. */
-function randomHex (bytes: number): string {
-  if (used + bytes > poolBytes) {
-    crypto.randomFillSync(pool)
-    used = 0
+/** Returns `bytes` random bytes as hex, never all zero. Random bytes are generated for many ids at once. */
+function createRandomHex (bytes: number): string {
+  if (usedBytes + bytes > randomPoolBytes) {
+    crypto.randomFillSync(randomPool)
+    usedBytes = 0
   }
-  const hex = pool.toString('hex', used, used + bytes)
-  used += bytes
-  return hex.startsWith('0') && /^0+$/.test(hex) ? randomHex(bytes) : hex
+  const hex = randomPool.toString('hex', usedBytes, usedBytes + bytes)
+  usedBytes += bytes
+  return hex.startsWith('0') && /^0+$/.test(hex) ? createRandomHex(bytes) : hex
 }
 
-export function newTraceId (): string {
-  return randomHex(16)
+export function createTraceId (): string {
+  return createRandomHex(16)
 }
 
-export function newSpanId (): string {
-  return randomHex(8)
+export function createSpanId (): string {
+  return createRandomHex(8)
 }
--- a/packages/base/tracing/src/tracing.ts
+++ b/packages/base/tracing/src/tracing.ts
@@ -1,34 +1,34 @@
-/** A span for each hop of a request. */
+/** Creates tracing, with or without an exporter. */
 import type * as span from './span.js'
 import * as traceparents from './traceparent.js'
 
 export interface TracingSettings {
   readonly serviceName: string
-  /** Where spans go, by OTLP over HTTP, as `http://ip:port/v1/traces`; null for nowhere. */
+  /** OTLP endpoint over HTTP, such as `http://ip:port/v1/traces`; null disables export. */
   readonly exporterUrl: string | null
 }
 
-class PassedOnSpan implements span.Span {
+class PropagatedSpan implements span.Span {
   constructor (readonly traceparent: string) {}
 
   end (): void {}
 }
 
-/** Records nothing, but passes the caller's trace on. */
-function createOff (): span.Tracing {
+/** Exports nothing, but propagates the trace of the caller. */
+function createPropagatingTracing (): span.Tracing {
   function startSpan (_name: string, parentTraceparent?: string): span.Span {
     const parent = traceparents.parseTraceparent(parentTraceparent)
-    const traceId = parent?.traceId ?? traceparents.newTraceId()
+    const traceId = parent?.traceId ?? traceparents.createTraceId()
     const sampled = parent?.sampled ?? false
-    return new PassedOnSpan(traceparents.formatTraceparent({ traceId, spanId: traceparents.newSpanId(), sampled }))
+    return new PropagatedSpan(traceparents.formatTraceparent({ traceId, spanId: traceparents.createSpanId(), sampled }))
   }
 
   return { startSpan, close: async () => {} }
 }
 
-/** Loads OpenTelemetry only where there is an exporter. */
+/** Creates tracing. OpenTelemetry is loaded only if there is an exporter. */
 export async function createTracing (settings: TracingSettings): Promise<span.Tracing> {
-  if (settings.exporterUrl === null) return createOff()
-  const exporting = await import('./exported-tracing.js')
-  return exporting.createExportedTracing(settings.serviceName, settings.exporterUrl)
+  if (settings.exporterUrl === null) return createPropagatingTracing()
+  const exportedTracing = await import('./exported-tracing.js')
+  return exportedTracing.createExportedTracing(settings.serviceName, settings.exporterUrl)
 }
