--- a/packages/base/bounded-map/src/bounded-map.ts
+++ b/packages/base/bounded-map/src/bounded-map.ts
@@ -1,8 +1,8 @@
-/** A map that holds so many entries at most: the one that was set longest ago goes first. */
+/** A map with a maximum size: when it is full, the entry that was set longest ago is evicted. */
 export class BoundedMap<Key, Value> {
   private readonly entries = new Map<Key, Value>()
 
-  constructor (private readonly most: number) {}
+  constructor (private readonly maxSize: number) {}
 
   get size (): number {
     return this.entries.size
@@ -24,15 +24,15 @@
     this.entries.delete(key)
   }
 
-  /** The key becomes the newest. Returns the value that had to go, if any. */
+  /** Sets an entry and makes it the newest. Returns the evicted value, if any. */
   set (key: Key, value: Value): Value | undefined {
     this.entries.delete(key)
     this.entries.set(key, value)
-    if (this.entries.size <= this.most) return undefined
+    if (this.entries.size <= this.maxSize) return undefined
     const oldest = this.entries.entries().next()
     if (oldest.done === true) return undefined
-    const [oldestKey, gone] = oldest.value
+    const [oldestKey, evicted] = oldest.value
     this.entries.delete(oldestKey)
-    return gone
+    return evicted
   }
 }
--- a/packages/base/bounded-map/src/index.ts
+++ b/packages/base/bounded-map/src/index.ts
@@ -1,2 +1,2 @@
-/** A map that holds so many entries at most. */
+/** A map with a maximum size. */
 export * from './bounded-map.js'
--- a/packages/base/process-signals/src/process-signals.ts
+++ b/packages/base/process-signals/src/process-signals.ts
@@ -1,31 +1,31 @@
-/** Catches the signals of this process and tells its program of them once that has started. */
+/** Catches the signals of this process and calls the handlers of its program once it has started. */
 import * as states from './signal-state.js'
 
 export interface SignalHandlers {
-  /** Ends the process gracefully. Called once, however many signals come. */
+  /** Shut down gracefully. Called once, however many signals arrive. */
   readonly onShutdown: (signal: states.HandledSignal) => void
-  /** Reads the settings again. */
+  /** Reload the settings. */
   readonly onReload: () => void
-  /** Another signal came while the process was ending. */
+  /** Another signal arrived during the shutdown. */
   readonly onIgnored: (signal: states.HandledSignal) => void
 }
 
 export interface ProcessSignals {
-  /** Call once, when the program has something to lose; tells of a reload that was asked for before. */
+  /** Call once, when the program starts to serve; calls `onReload` if a reload was requested before. */
   readonly setHandlers: (handlers: SignalHandlers) => void
 }
 
-const signals: readonly states.HandledSignal[] = ['SIGTERM', 'SIGINT', 'SIGHUP']
+const handledSignals: readonly states.HandledSignal[] = ['SIGTERM', 'SIGINT', 'SIGHUP']
 
 /**
- * Call before anything else is loaded: until a handler is set, a signal ends the process by its default action,
- * also the one that asks for a reload.
+ * Starts to catch signals. Call it before anything else is loaded: until then a signal has its default action and ends
+ * the process, also the one that requests a reload.
  */
 export function catchSignals (): ProcessSignals {
-  let state = states.firstState
+  let state = states.initialState
   let handlers: SignalHandlers | undefined
 
-  function take ({ state: next, action }: states.SignalStep, signal: states.HandledSignal): void {
+  function applyStep ({ state: next, action }: states.SignalStep, signal: states.HandledSignal): void {
     state = next
     switch (action.type) {
       case 'none': return
@@ -36,11 +36,11 @@
     }
   }
 
-  for (const signal of signals) process.on(signal, () => { take(states.onSignal(state, signal), signal) })
+  for (const signal of handledSignals) process.on(signal, () => { applyStep(states.onSignal(state, signal), signal) })
   return {
-    setHandlers (given) {
-      handlers = given
-      take(states.onStarted(state), 'SIGHUP')
+    setHandlers (newHandlers) {
+      handlers = newHandlers
+      applyStep(states.onStarted(state), 'SIGHUP')
     }
   }
 }
--- a/packages/base/process-signals/src/signal-state.test.ts
+++ b/packages/base/process-signals/src/signal-state.test.ts
@@ -1,8 +1,8 @@
 import tap from 'tap'
 import * as states from './signal-state.js'
 
-function actionsOf (...events: readonly (states.HandledSignal | 'started')[]): string[] {
-  let state = states.firstState
+function runEvents (...events: readonly (states.HandledSignal | 'started')[]): string[] {
+  let state = states.initialState
   return events.map((event) => {
     const step = event === 'started' ? states.onStarted(state) : states.onSignal(state, event)
     state = step.state
@@ -10,20 +10,20 @@
   })
 }
 
-// Guards against a process that is ended by a reload while it starts.
-tap.test('a reload while the process starts is done once it has started', (t) => {
-  t.same(actionsOf('SIGHUP', 'SIGHUP', 'started', 'SIGHUP'), ['none', 'none', 'reload', 'reload'])
-  t.same(actionsOf('started'), ['none'])
+// Guards against SIGHUP during the start ending the process.
+tap.test('a reload that is requested while the process starts is done once it has started', (t) => {
+  t.same(runEvents('SIGHUP', 'SIGHUP', 'started', 'SIGHUP'), ['none', 'none', 'reload', 'reload'])
+  t.same(runEvents('started'), ['none'])
   t.end()
 })
 
-// Guards against requests that are cut off by the second of two signals to end.
-tap.test('signals in series end the process once', (t) => {
-  t.same(actionsOf('started', 'SIGTERM', 'SIGTERM', 'SIGINT', 'SIGHUP'), ['none', 'end', 'ignore', 'ignore', 'ignore'])
+// Guards against a second SIGTERM or SIGINT cutting off requests in flight.
+tap.test('a series of signals shuts the process down once', (t) => {
+  t.same(runEvents('started', 'SIGTERM', 'SIGTERM', 'SIGINT', 'SIGHUP'), ['none', 'end', 'ignore', 'ignore', 'ignore'])
   t.end()
 })
 
-tap.test('a process that serves nothing yet ends at once', (t) => {
-  t.same(actionsOf('SIGHUP', 'SIGTERM'), ['none', 'exit'])
+tap.test('a process that does not serve yet exits at once', (t) => {
+  t.same(runEvents('SIGHUP', 'SIGTERM'), ['none', 'exit'])
   t.end()
 })
--- a/packages/base/process-signals/src/signal-state.ts
+++ b/packages/base/process-signals/src/signal-state.ts
@@ -1,21 +1,21 @@
-/** What a process does with a signal: signals come in series, and at any moment of its life. */
+/** State machine of a process's signals: they may arrive repeatedly and in any state. */
 
-/** The signals that are handled: two that end the process, and one that has its settings read again. */
+/** The signals that are handled: SIGTERM and SIGINT shut the process down, SIGHUP reloads its settings. */
 export type HandledSignal = 'SIGTERM' | 'SIGINT' | 'SIGHUP'
 
 export type SignalState =
-  /** Nothing is served yet. */
-  | { readonly type: 'starting', readonly reloadAsked: boolean }
+  /** The process does not serve yet. */
+  | { readonly type: 'starting', readonly isReloadRequested: boolean }
   | { readonly type: 'running' }
   | { readonly type: 'ending' }
 
 export type SignalAction =
   | { readonly type: 'none' }
-  /** Nothing is under way: the process may end at once. */
+  /** Nothing is in flight: the process may exit at once. */
   | { readonly type: 'exit' }
   | { readonly type: 'end' }
   | { readonly type: 'reload' }
-  /** The process is ending already; what is under way still ends. */
+  /** The process is already shutting down; requests in flight still complete. */
   | { readonly type: 'ignore' }
 
 export interface SignalStep {
@@ -23,23 +23,23 @@
   readonly action: SignalAction
 }
 
-export const firstState: SignalState = { type: 'starting', reloadAsked: false }
+export const initialState: SignalState = { type: 'starting', isReloadRequested: false }
 
 export function onSignal (state: SignalState, signal: HandledSignal): SignalStep {
   switch (state.type) {
-    case 'starting': return whileStarting(state, signal)
+    case 'starting': return onSignalWhileStarting(state, signal)
     case 'running': return signal === 'SIGHUP' ? { state, action: { type: 'reload' } } : { state: { type: 'ending' }, action: { type: 'end' } }
     case 'ending': return { state, action: { type: 'ignore' } }
   }
 }
 
-function whileStarting (state: SignalState, signal: HandledSignal): SignalStep {
-  if (signal === 'SIGHUP') return { state: { type: 'starting', reloadAsked: true }, action: { type: 'none' } }
+function onSignalWhileStarting (state: SignalState, signal: HandledSignal): SignalStep {
+  if (signal === 'SIGHUP') return { state: { type: 'starting', isReloadRequested: true }, action: { type: 'none' } }
   return { state, action: { type: 'exit' } }
 }
 
-/** The process serves from now on; a reload that was asked for meanwhile is due. */
+/** The process serves from now on; the action is a reload if one was requested during the start. */
 export function onStarted (state: SignalState): SignalStep {
-  const reloadAsked = state.type === 'starting' && state.reloadAsked
-  return { state: { type: 'running' }, action: { type: reloadAsked ? 'reload' : 'none' } }
+  const isReloadRequested = state.type === 'starting' && state.isReloadRequested
+  return { state: { type: 'running' }, action: { type: isReloadRequested ? 'reload' : 'none' } }
 }
