--- a/packages/base/decision-log/src/decisions.ts
+++ b/packages/base/decision-log/src/decisions.ts
@@ -29,7 +29,7 @@
   | RequestFields & { readonly event: 'unknownRoute', readonly host: string | undefined, readonly path: string, readonly version: number | undefined }
   /** The request has no key, or one that no account of this routing version has. */
   | RequestFields & { readonly event: 'unknownKey', readonly route: string, readonly key: 'none' | 'key' | 'unreadable', readonly version: number, readonly routingAgeMs: number }
-  /** `by`: who decided. `requestsLeft`: what remains of the account's limit, negative if it is exceeded. */
+  /** `by`: who decided. `requestsLeft`: what remains of the account's limit, below 0 if it is exceeded. */
   | RequestFields & { readonly event: 'overLimit', readonly program: types.ProgramId | undefined, readonly account: types.AccountId, readonly route: string, readonly part: 'first' | 'further', readonly by: 'owner' | 'share', readonly requestsLeft: number, readonly retryAfterMs: number, readonly version: number }
   /** Forwarded to the process that owns the program. */
   | TurnFields & { readonly event: 'passedOn', readonly owner: string, readonly ownersAgeMs: number }
@@ -172,7 +172,7 @@
   shardNotRead: { level: 'warn', message: 'could not read the shard; retrying' },
   shardLost: { level: 'warn', message: 'ownership of the shard lost' },
   appendUnanswered: { level: 'warn', message: 'append not acknowledged' },
-  storeAway: { level: 'warn', message: 'no answer from the store' },
+  storeAway: { level: 'warn', message: 'store does not answer' },
   storeBack: { level: 'info', message: 'store answers again' },
   changesMissed: { level: 'warn', message: 'changes expired before they were read' },
   storeRelayed: { level: 'warn', message: 'the store does not serve this process; calls go through a peer' },
