--- a/packages/programs/guard-upstream/src/dispatch-records.test.ts
+++ b/packages/programs/guard-upstream/src/dispatch-records.test.ts
@@ -8,7 +8,7 @@
 const key = 'print-1' as types.RequestKey
 const upstream = 'kit-1' as types.UpstreamId
 
-function dispatchOf (): types.Dispatch {
+function createDispatch (): types.Dispatch {
   return {
     program,
     key,
@@ -28,18 +28,18 @@
 }
 
 type Op =
-  /** A home writes an intent, if the one before is settled as notRun. */
+  /** A home writes an intent, if the previous one is settled as notRun. */
   | { readonly type: 'intent' }
-  /** A copy of any dispatch so far arrives: late, crossed or twice. */
+  /** A copy of an earlier dispatch arrives: delayed, out of order or duplicated. */
   | { readonly type: 'arrive', readonly which: number }
-  /** The call whose turn came ends. */
+  /** The running call ends. */
   | { readonly type: 'end', readonly how: 'answered' | types.Verdict }
-  /** Some home asks what became of the open intent. */
+  /** A home seals the open intent to learn its state. */
   | { readonly type: 'seal' }
   | { readonly type: 'restart' }
   | { readonly type: 'wait', readonly ms: number }
 
-const opArb: fc.Arbitrary<Op> = fc.oneof(
+const arbitraryOp: fc.Arbitrary<Op> = fc.oneof(
   { weight: 3, arbitrary: fc.record({ type: fc.constant('intent' as const) }) },
   { weight: 5, arbitrary: fc.record({ type: fc.constant('arrive' as const), which: fc.nat(5) }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constant('end' as const), how: fc.constantFrom('answered' as const, 'notRun' as const, 'mayHaveRun' as const, 'ran' as const) }) },
@@ -48,20 +48,20 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.constantFrom(10, 30_000, dispatchRecords.recordRetentionMs) }) }
 )
 
-/** Homes as the journal allows them: one open intent at a time, a new one only after notRun. */
-class World {
-  executions = 0
+/** Simulates homes within the rules of the journal: one open intent at a time, and a new one only after notRun. */
+class HomeSimulation {
+  executionCount = 0
   private now = 1_000_000
-  private runs = 1
-  private records = dispatchRecords.createDispatchRecords(this.incarnation(), () => this.now)
-  private intents: { readonly intent: types.DispatchIntent, toldNotRun: boolean }[] = []
-  private open = false
-  private closed = false
+  private runNumber = 1
+  private records = dispatchRecords.createDispatchRecords(this.getIncarnation(), () => this.now)
+  private intents: { readonly intent: types.DispatchIntent, isReportedNotRun: boolean }[] = []
+  private hasOpenIntent = false
+  private isClosed = false
   private running: (() => void) | undefined
-  private endRunning: ((result: errors.Result<types.DispatchAnswer>) => void) | undefined
+  private endRunningCall: ((result: errors.Result<types.DispatchAnswer>) => void) | undefined
 
-  private incarnation (): types.Incarnation {
-    return `run-${this.runs}` as types.Incarnation
+  private getIncarnation (): types.Incarnation {
+    return `run-${this.runNumber}` as types.Incarnation
   }
 
   apply (op: Op): void {
@@ -71,83 +71,83 @@
       case 'end': return this.end(op.how)
       case 'seal': return this.seal()
       case 'restart': return this.restart()
-      case 'wait': this.now += op.ms; this.records.forgetOld()
+      case 'wait': this.now += op.ms; this.records.deleteExpired()
     }
   }
 
   private writeIntent (): void {
-    if (this.open || this.closed) return
-    this.open = true
+    if (this.hasOpenIntent || this.isClosed) return
+    this.hasOpenIntent = true
     const position = (this.intents.length + 1) * 10 as types.Term
-    this.intents.push({ intent: { position, at: this.now as types.EpochMs, incarnation: this.incarnation() }, toldNotRun: false })
+    this.intents.push({ intent: { position, at: this.now as types.EpochMs, incarnation: this.getIncarnation() }, isReportedNotRun: false })
   }
 
   private arrive (which: number): void {
     const sent = this.intents[which]
     if (sent === undefined) return
-    const permission = this.records.permit(dispatchOf(), sent.intent)
+    const permission = this.records.permit(createDispatch(), sent.intent)
     if (permission.type !== 'run') return
-    if (sent.toldNotRun) throw new Error('ran after notRun was told')
-    this.executions += 1
+    if (sent.isReportedNotRun) throw new Error('ran after notRun was reported')
+    this.executionCount += 1
     const records = this.records
-    let ended = false
-    records.noteWaiting(dispatchOf(), sent.intent, () => { ended = true }, Promise.resolve(answered))
-    records.noteRunning(dispatchOf())
-    this.endRunning = (result) => {
-      if (ended) return
-      ended = true
-      if (!result.ok && result.failure.verdict === 'notRun') this.executions -= 1
-      records.noteEnded(dispatchOf(), result)
+    let hasEnded = false
+    records.recordWaiting(createDispatch(), sent.intent, () => { hasEnded = true }, Promise.resolve(answered))
+    records.recordRunning(createDispatch())
+    this.endRunningCall = (result) => {
+      if (hasEnded) return
+      hasEnded = true
+      if (!result.ok && result.failure.verdict === 'notRun') this.executionCount -= 1
+      records.recordEnded(createDispatch(), result)
     }
   }
 
   private end (how: 'answered' | types.Verdict): void {
-    this.endRunning?.(how === 'answered' ? answered : failed(how))
-    this.endRunning = undefined
+    this.endRunningCall?.(how === 'answered' ? answered : failed(how))
+    this.endRunningCall = undefined
   }
 
   private seal (): void {
     const last = this.intents.at(-1)
-    if (!this.open || last === undefined) return
+    if (!this.hasOpenIntent || last === undefined) return
     const { position, at, incarnation } = last.intent
     const state = this.records.seal({ program, key, upstream, intent: position, intentAt: at, incarnation })
     if (state.type === 'running') return
-    this.open = false
-    last.toldNotRun = state.type === 'sealed'
-    this.closed = !last.toldNotRun
+    this.hasOpenIntent = false
+    last.isReportedNotRun = state.type === 'sealed'
+    this.isClosed = !last.isReportedNotRun
   }
 
   private restart (): void {
-    this.runs += 1
-    this.endRunning = undefined
-    this.records = dispatchRecords.createDispatchRecords(this.incarnation(), () => this.now)
+    this.runNumber += 1
+    this.endRunningCall = undefined
+    this.records = dispatchRecords.createDispatchRecords(this.getIncarnation(), () => this.now)
   }
 }
 
-tap.test('a key runs at most once, and never after notRun was told', async (t) => {
-  fc.assert(fc.property(fc.array(opArb, { minLength: 10, maxLength: 40, size: 'max' }), (ops) => {
-    const world = new World()
+tap.test('a key runs at most once, and never after notRun was reported', async (t) => {
+  fc.assert(fc.property(fc.array(arbitraryOp, { minLength: 10, maxLength: 40, size: 'max' }), (ops) => {
+    const simulation = new HomeSimulation()
     for (const op of ops) {
-      world.apply(op)
-      if (world.executions > 1) throw new Error(`ran ${world.executions} times`)
+      simulation.apply(op)
+      if (simulation.executionCount > 1) throw new Error(`ran ${simulation.executionCount} times`)
     }
   }), { seed: 4, numRuns: 5_000 })
   t.pass('5000 schedules')
 })
 
-tap.test('a sealed intent is refused as notRun, a later one runs', async (t) => {
+tap.test('a sealed intent is refused as notRun and a later one runs', async (t) => {
   const records = dispatchRecords.createDispatchRecords('run-1' as types.Incarnation, () => 0)
   const intent = (position: number): types.DispatchIntent => ({ position: position as types.Term, at: 0 as types.EpochMs, incarnation: 'run-1' as types.Incarnation })
   const sealed = records.seal({ program, key, upstream, intent: 10 as types.Term, intentAt: 0 as types.EpochMs, incarnation: 'run-1' as types.Incarnation })
   t.same(sealed, { type: 'sealed' })
-  t.match(records.permit(dispatchOf(), intent(10)), { type: 'refuse', failure: { tag: 'sealed', verdict: 'notRun' } })
-  t.match(records.permit(dispatchOf(), intent(11)), { type: 'run' })
+  t.match(records.permit(createDispatch(), intent(10)), { type: 'refuse', failure: { tag: 'sealed', verdict: 'notRun' } })
+  t.match(records.permit(createDispatch(), intent(11)), { type: 'run' })
 })
 
-tap.test('a dispatch meant for another run of the process, or far too old, is refused', async (t) => {
+tap.test('a dispatch to another incarnation of the process, or with a much too old intent, is refused', async (t) => {
   const records = dispatchRecords.createDispatchRecords('run-2' as types.Incarnation, () => 1_000_000)
   const intent = { position: 1 as types.Term, at: 1_000_000 as types.EpochMs, incarnation: 'run-1' as types.Incarnation }
-  t.match(records.permit(dispatchOf(), intent), { type: 'refuse', failure: { tag: 'wrongIncarnation', verdict: 'notRun' } })
+  t.match(records.permit(createDispatch(), intent), { type: 'refuse', failure: { tag: 'wrongIncarnation', verdict: 'notRun' } })
   const old = { ...intent, incarnation: 'run-2' as types.Incarnation, at: (1_000_000 - dispatchRecords.maxIntentAgeMs - 1) as types.EpochMs }
-  t.match(records.permit(dispatchOf(), old), { type: 'refuse', failure: { field: 'intent.at', verdict: 'notRun' } })
+  t.match(records.permit(createDispatch(), old), { type: 'refuse', failure: { field: 'intent.at', verdict: 'notRun' } })
 })
--- a/packages/programs/guard-upstream/src/prefix-holds.ts
+++ b/packages/programs/guard-upstream/src/prefix-holds.ts
@@ -1,15 +1,15 @@
 /**
- * Leases on prefixes that an engine keeps pinned for programs. Whatever has no lease here is released:
- * a lapsed lease, a dropped one, and a session found pinned that nobody here holds.
+ * Leases on the prefixes that an engine keeps pinned in its cache for programs. A prefix is released when its lease
+ * expires or is dropped, and when a sweep finds it pinned without a lease.
  */
 import type * as engineClient from '@eelgrasswind/engine-client'
 import type * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** How often pinned sessions are compared with the leases, in milliseconds. */
-export const sweepPeriodMs = 5_000
-/** No lease is longer than this, in milliseconds. */
+/** Interval of the sweeps that compare pinned sessions with the leases, in milliseconds. */
+export const sweepIntervalMs = 5_000
+/** Maximum duration of a lease, in milliseconds. */
 export const maxHoldMs = 10 * 60_000
 
 interface Lease {
@@ -34,21 +34,21 @@
 export function createPrefixHolds (settings: PrefixHoldsSettings): PrefixHolds {
   const { engine, timers } = settings
   const leases = new Map<types.ProgramId, Lease>()
-  const sweeping = timers.every(sweepPeriodMs, () => { void sweep() })
+  const sweepTimer = timers.every(sweepIntervalMs, () => { void sweep() })
 
-  function forget (program: types.ProgramId): void {
+  function removeLease (program: types.ProgramId): void {
     leases.get(program)?.expiry.cancel()
     leases.delete(program)
   }
 
   async function hold (program: types.ProgramId, term: types.Term, holdMs: number): Promise<errors.Result<void>> {
-    const known = leases.get(program)
-    if (known !== undefined && known.term > term) return { ok: true, value: undefined }
-    forget(program)
+    const currentLease = leases.get(program)
+    if (currentLease !== undefined && currentLease.term > term) return { ok: true, value: undefined }
+    removeLease(program)
     const expiry = timers.after(Math.min(holdMs, maxHoldMs), () => { void release(program) })
     leases.set(program, { term, expiry })
     const result = await engine.hold(program)
-    if (!result.ok) forget(program)
+    if (!result.ok) removeLease(program)
     return result
   }
 
@@ -59,25 +59,25 @@
   }
 
   async function release (program: types.ProgramId): Promise<errors.Result<void>> {
-    forget(program)
+    removeLease(program)
     return await engine.release(program)
   }
 
   async function sweep (): Promise<void> {
-    const held = await engine.listHeldSessions()
-    if (!held.ok) return
-    let released = 0
-    for (const { session } of held.value) {
+    const pinnedSessions = await engine.listHeldSessions()
+    if (!pinnedSessions.ok) return
+    let releasedCount = 0
+    for (const { session } of pinnedSessions.value) {
       if (leases.has(session)) continue
       const result = await engine.release(session)
-      if (result.ok) released += 1
+      if (result.ok) releasedCount += 1
     }
-    if (released > 0) settings.onSwept(released)
+    if (releasedCount > 0) settings.onSwept(releasedCount)
   }
 
   function close (): void {
-    sweeping.cancel()
-    for (const program of [...leases.keys()]) forget(program)
+    sweepTimer.cancel()
+    for (const program of [...leases.keys()]) removeLease(program)
   }
 
   return { hold, drop, get size () { return leases.size }, close }
--- a/packages/programs/guard-upstream/src/send-dispatch.ts
+++ b/packages/programs/guard-upstream/src/send-dispatch.ts
@@ -1,29 +1,29 @@
-/** Sends one dispatch whose turn has come to its upstream, within its time limit. */
+/** Sends one dispatch to its upstream, with a timeout. */
 import type * as engineClient from '@eelgrasswind/engine-client'
 import * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
-import * as doors from './door.js'
+import * as upstreamStates from './upstream-state.js'
 
-type Result = errors.Result<types.DispatchAnswer>
-type Untimed = errors.Result<Omit<types.DispatchAnswer, 'ranMs'>>
-type Payload<Type extends types.DispatchPayload['type']> = Extract<types.DispatchPayload, { type: Type }>
+type DispatchResult = errors.Result<types.DispatchAnswer>
+type UntimedResult = errors.Result<Omit<types.DispatchAnswer, 'ranMs'>>
+type PayloadOfType<Type extends types.DispatchPayload['type']> = Extract<types.DispatchPayload, { type: Type }>
 
-const noTokens: types.TokenCount = { prompt: 0, cached: 0, generated: 0 }
+const zeroTokens: types.TokenCount = { prompt: 0, cached: 0, generated: 0 }
 
-/** What is sent as the request id, and must come back. */
-function requestIdOf (req: types.Dispatch): string {
+/** Formats the request id, which the answer must carry too. */
+function formatRequestId (req: types.Dispatch): string {
   return `${req.program}/${req.key}`
 }
 
-function wrongType (req: types.Dispatch): errors.Failure {
-  return { tag: 'unknownTarget', verdict: 'notRun', message: `${req.upstream} does not take a ${req.payload.type} call`, field: 'upstream' }
+function createTypeFailure (req: types.Dispatch): errors.Failure {
+  return { tag: 'unknownTarget', verdict: 'notRun', message: `${req.upstream} does not accept a ${req.payload.type} call`, field: 'upstream' }
 }
 
-async function toEngine (door: doors.Door, req: types.Dispatch, payload: Payload<'model'>, options: engineClient.CallOptions, now: () => number): Promise<Untimed> {
-  if (door.target.type !== 'engine') return errors.fail(wrongType(req))
-  const answer = await door.target.client.complete({
-    requestId: requestIdOf(req),
+async function sendToEngine (upstream: upstreamStates.UpstreamState, req: types.Dispatch, payload: PayloadOfType<'model'>, options: engineClient.CallOptions, now: () => number): Promise<UntimedResult> {
+  if (upstream.target.type !== 'engine') return errors.fail(createTypeFailure(req))
+  const answer = await upstream.target.client.complete({
+    requestId: formatRequestId(req),
     model: payload.model,
     messages: payload.messages,
     maxTokens: payload.maxTokens,
@@ -33,44 +33,44 @@
   }, options)
   if (!answer.ok) return answer
   const { message, finishReason, tokens } = answer.value
-  return errors.ok({ outcome: { type: 'message', message, finishReason }, tokens, load: doors.loadOf(door, now()) })
+  return errors.ok({ outcome: { type: 'message', message, finishReason }, tokens, load: upstreamStates.getLoad(upstream, now()) })
 }
 
-async function toService (door: doors.Door, req: types.Dispatch, payload: Payload<'service'>, options: engineClient.CallOptions): Promise<Untimed> {
-  if (door.target.type !== 'service') return errors.fail(wrongType(req))
-  const answer = await door.target.client.call({ requestId: requestIdOf(req), path: payload.path, body: payload.body }, options)
+async function sendToService (upstream: upstreamStates.UpstreamState, req: types.Dispatch, payload: PayloadOfType<'service'>, options: engineClient.CallOptions): Promise<UntimedResult> {
+  if (upstream.target.type !== 'service') return errors.fail(createTypeFailure(req))
+  const answer = await upstream.target.client.call({ requestId: formatRequestId(req), path: payload.path, body: payload.body }, options)
   if (!answer.ok) return answer
   const { status, body } = answer.value
-  return errors.ok({ outcome: { type: 'service', status, body }, tokens: noTokens, load: null })
+  return errors.ok({ outcome: { type: 'service', status, body }, tokens: zeroTokens, load: null })
 }
 
-async function send (door: doors.Door, req: types.Dispatch, options: engineClient.CallOptions, now: () => number): Promise<Untimed> {
+async function sendToUpstream (upstream: upstreamStates.UpstreamState, req: types.Dispatch, options: engineClient.CallOptions, now: () => number): Promise<UntimedResult> {
   const payload = req.payload
   switch (payload.type) {
-    case 'model': return await toEngine(door, req, payload, options, now)
-    case 'service': return await toService(door, req, payload, options)
+    case 'model': return await sendToEngine(upstream, req, payload, options, now)
+    case 'service': return await sendToService(upstream, req, payload, options)
     default: return errors.assertNever(payload)
   }
 }
 
-/** The signal ends the request; so does its time limit, which is then what the failure says. */
-export async function sendDispatch (door: doors.Door, req: types.Dispatch, options: engineClient.CallOptions, timers: timerService.TimerService): Promise<Result> {
-  const stop = new AbortController()
-  const abort = (): void => stop.abort()
-  let timedOut = false
+/** Sends a dispatch. The signal and the timeout abort the request; after the timeout the failure is `timeout`. */
+export async function sendDispatch (upstream: upstreamStates.UpstreamState, req: types.Dispatch, options: engineClient.CallOptions, timers: timerService.TimerService): Promise<DispatchResult> {
+  const controller = new AbortController()
+  const abort = (): void => controller.abort()
+  let hasTimedOut = false
   const startedAt = timers.monotonic()
-  const limit = timers.after(req.timeoutMs, () => { timedOut = true; abort() })
+  const timeout = timers.after(req.timeoutMs, () => { hasTimedOut = true; abort() })
   options.signal.addEventListener('abort', abort, { once: true })
   if (options.signal.aborted) abort()
   try {
-    const result = await send(door, req, { ...options, signal: stop.signal }, timers.now)
+    const result = await sendToUpstream(upstream, req, { ...options, signal: controller.signal }, timers.now)
     if (result.ok) return errors.ok({ ...result.value, ranMs: timers.monotonic() - startedAt })
-    if (!timedOut) return result
-    return errors.fail({ tag: 'timeout', verdict: 'mayHaveRun', message: 'no whole answer in time', afterMs: req.timeoutMs })
+    if (!hasTimedOut) return result
+    return errors.fail({ tag: 'timeout', verdict: 'mayHaveRun', message: 'no complete answer before the timeout', afterMs: req.timeoutMs })
   } catch (err) {
     return errors.fail(errors.toFailure(err))
   } finally {
-    limit.cancel()
+    timeout.cancel()
     options.signal.removeEventListener('abort', abort)
   }
 }
--- a/packages/programs/guard-upstream/src/upstream-guard.ts
+++ b/packages/programs/guard-upstream/src/upstream-guard.ts
@@ -1,15 +1,15 @@
-/** Dispatches calls to the upstreams of this host; nothing else talks to them. */
+/** Dispatches calls to the upstreams of this host; all requests to them go through it. */
 import * as errors from '@eelgrasswind/errors'
 import type * as logger from '@eelgrasswind/logger'
 import type * as orderQueue from '@eelgrasswind/order-queue'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as tracing from '@eelgrasswind/tracing'
 import type * as types from '@eelgrasswind/types'
-import * as turns from './await-turn.js'
+import * as slotWaiting from './wait-for-slot.js'
 import * as dispatchRecords from './dispatch-records.js'
-import * as doorOf from './door.js'
+import * as upstreamStates from './upstream-state.js'
 import type * as prefixHolds from './prefix-holds.js'
-import * as sending from './send-dispatch.js'
+import * as dispatchSending from './send-dispatch.js'
 
 export interface UpstreamGuardSettings {
   readonly self: types.ProcessRef
@@ -19,17 +19,17 @@
   readonly tracer: tracing.Tracing
 }
 
-/** How often an engine is asked for its load, in milliseconds. */
-const loadPeriodMs = 1_000
-/** How often old dispatch records are dropped, in milliseconds. */
-const forgetPeriodMs = 60_000
+/** Poll interval of the load of engines, in milliseconds. */
+const loadPollIntervalMs = 1_000
+/** Interval at which expired dispatch records are deleted, in milliseconds. */
+const expiryIntervalMs = 60_000
 const unavailableRetryMs = 1_000
 
-type Result = dispatchRecords.DispatchResult
+type DispatchResult = dispatchRecords.DispatchResult
 type OnDelta = (text: string) => void
 
 export class UpstreamGuard {
-  private readonly doors = new Map<types.UpstreamId, doorOf.Door>()
+  private readonly upstreams = new Map<types.UpstreamId, upstreamStates.UpstreamState>()
   private readonly records: dispatchRecords.DispatchRecords
   private readonly subscriptions: readonly timerService.Subscription[]
   private orderRule: orderQueue.OrderRule
@@ -39,89 +39,89 @@
     this.orderRule = settings.orderRule
     this.records = dispatchRecords.createDispatchRecords(self.incarnation, timers.now)
     this.subscriptions = [
-      timers.every(loadPeriodMs, () => { void this.askLoads() }),
-      timers.every(forgetPeriodMs, () => this.records.forgetOld())
+      timers.every(loadPollIntervalMs, () => { void this.refreshLoads() }),
+      timers.every(expiryIntervalMs, () => this.records.deleteExpired())
     ]
   }
 
-  /** Adds, resizes and removes upstreams; one that goes ends its running calls first. */
-  setUpstreams (upstreams: readonly doorOf.GuardedUpstream[]): void {
-    const wanted = new Map(upstreams.map((target) => [target.upstream, target]))
-    for (const [id, door] of this.doors) {
-      if (!wanted.has(id)) this.closeDoor(id, door)
+  /** Adds, resizes and removes upstreams; running calls of a removed upstream still complete. */
+  setUpstreams (upstreams: readonly upstreamStates.GuardedUpstream[]): void {
+    const targets = new Map(upstreams.map((target) => [target.upstream, target]))
+    for (const [id, state] of this.upstreams) {
+      if (!targets.has(id)) this.removeUpstream(id, state)
     }
-    for (const [id, target] of wanted) this.setUpstream(id, target)
+    for (const [id, target] of targets) this.setUpstream(id, target)
   }
 
-  /** Orders the queues by another rule, those that wait included. */
+  /** Orders the queues by another rule, including the calls that are queued already. */
   setOrderRule (rule: orderQueue.OrderRule): void {
     if (rule.type === this.orderRule.type) return
     this.orderRule = rule
-    for (const door of this.doors.values()) door.slots.setRule(rule)
+    for (const state of this.upstreams.values()) state.slots.setRule(rule)
   }
 
-  private setUpstream (id: types.UpstreamId, target: doorOf.GuardedUpstream): void {
-    const door = this.doors.get(id)
-    if (door !== undefined && door.target.client === target.client) return door.slots.resize(target.slots)
-    if (door !== undefined) this.closeDoor(id, door)
+  private setUpstream (id: types.UpstreamId, target: upstreamStates.GuardedUpstream): void {
+    const state = this.upstreams.get(id)
+    if (state !== undefined && state.target.client === target.client) return state.slots.resize(target.slots)
+    if (state !== undefined) this.removeUpstream(id, state)
     const { timers, logger } = this.settings
-    this.doors.set(id, doorOf.openDoor(target, this.orderRule, timers, (upstream, released) => logger.warn({ upstream, released }, 'released sessions that nobody holds')))
+    this.upstreams.set(id, upstreamStates.createUpstreamState(target, this.orderRule, timers, (upstream, released) => logger.warn({ upstream, released }, 'released pinned sessions that have no lease')))
   }
 
-  private closeDoor (id: types.UpstreamId, door: doorOf.Door): void {
-    door.holds?.close()
-    this.doors.delete(id)
+  private removeUpstream (id: types.UpstreamId, state: upstreamStates.UpstreamState): void {
+    state.holds?.close()
+    this.upstreams.delete(id)
   }
 
-  async dispatch (req: types.Dispatch, ctx: types.RequestContext, signal: AbortSignal, onDelta: OnDelta): Promise<Result> {
-    const door = this.doors.get(req.upstream)
-    if (door === undefined) return errors.fail(this.unknownUpstream(req.upstream))
-    if (req.intent === null) return await this.run(door, req, ctx, signal, signal, onDelta, () => undefined)
-    return await this.dispatchOnce(door, req, req.intent, ctx, onDelta)
+  async dispatch (req: types.Dispatch, ctx: types.RequestContext, signal: AbortSignal, onDelta: OnDelta): Promise<DispatchResult> {
+    const state = this.upstreams.get(req.upstream)
+    if (state === undefined) return errors.fail(this.createUnknownUpstreamFailure(req.upstream))
+    if (req.intent === null) return await this.runInSlot(state, req, ctx, signal, signal, onDelta, () => undefined)
+    return await this.dispatchOnce(state, req, req.intent, ctx, onDelta)
   }
 
-  /** A call that must not be repeated: its sender going away does not end it, only a seal before its turn does. */
-  private async dispatchOnce (door: doorOf.Door, req: types.Dispatch, intent: types.DispatchIntent, ctx: types.RequestContext, onDelta: OnDelta): Promise<Result> {
+  /** Dispatches a call that must not run twice. It continues if its sender disconnects; only a seal cancels it, while it is queued. */
+  private async dispatchOnce (state: upstreamStates.UpstreamState, req: types.Dispatch, intent: types.DispatchIntent, ctx: types.RequestContext, onDelta: OnDelta): Promise<DispatchResult> {
     const permission = this.records.permit(req, intent)
     switch (permission.type) {
       case 'refuse': return errors.fail(permission.failure)
       case 'join': return await permission.done
-      case 'run': return await this.runRecorded(door, req, intent, ctx, onDelta)
+      case 'run': return await this.runRecorded(state, req, intent, ctx, onDelta)
       default: return errors.assertNever(permission)
     }
   }
 
-  private async runRecorded (door: doorOf.Door, req: types.Dispatch, intent: types.DispatchIntent, ctx: types.RequestContext, onDelta: OnDelta): Promise<Result> {
-    const sealing = new AbortController()
-    const never = new AbortController().signal
-    let settle: (result: Result) => void = () => undefined
-    const done = new Promise<Result>((resolve) => { settle = resolve })
-    this.records.noteWaiting(req, intent, () => sealing.abort(), done)
-    const result = await this.run(door, req, ctx, sealing.signal, never, onDelta, () => this.records.noteRunning(req))
-    this.records.noteEnded(req, result)
-    settle(result)
+  private async runRecorded (state: upstreamStates.UpstreamState, req: types.Dispatch, intent: types.DispatchIntent, ctx: types.RequestContext, onDelta: OnDelta): Promise<DispatchResult> {
+    const sealController = new AbortController()
+    const neverAborted = new AbortController().signal
+    let resolveDone: (result: DispatchResult) => void = () => undefined
+    const done = new Promise<DispatchResult>((resolve) => { resolveDone = resolve })
+    this.records.recordWaiting(req, intent, () => sealController.abort(), done)
+    const result = await this.runInSlot(state, req, ctx, sealController.signal, neverAborted, onDelta, () => this.records.recordRunning(req))
+    this.records.recordEnded(req, result)
+    resolveDone(result)
     return result
   }
 
-  private async run (door: doorOf.Door, req: types.Dispatch, ctx: types.RequestContext, queueSignal: AbortSignal, signal: AbortSignal, onDelta: OnDelta, onStart: () => void): Promise<Result> {
+  private async runInSlot (state: upstreamStates.UpstreamState, req: types.Dispatch, ctx: types.RequestContext, queueSignal: AbortSignal, signal: AbortSignal, onDelta: OnDelta, onStart: () => void): Promise<DispatchResult> {
     const { tracer, timers } = this.settings
-    const waiting = tracer.startSpan('sidecar dispatch', ctx.traceparent, { program: req.program, upstream: req.upstream })
-    const turn = await turns.awaitTurn(door.slots, req, queueSignal, timers, onStart)
-    if (!turn.ok) {
-      waiting.end('error')
-      return turn
+    const dispatchSpan = tracer.startSpan('sidecar dispatch', ctx.traceparent, { program: req.program, upstream: req.upstream })
+    const slot = await slotWaiting.waitForSlot(state.slots, req, queueSignal, timers, onStart)
+    if (!slot.ok) {
+      dispatchSpan.end('error')
+      return slot
     }
-    const sent = tracer.startSpan('upstream', waiting.traceparent, { program: req.program, upstream: req.upstream })
-    const result = await sending.sendDispatch(door, req, { signal, traceparent: sent.traceparent, onDelta }, timers)
-    door.slots.leave()
+    const upstreamSpan = tracer.startSpan('upstream', dispatchSpan.traceparent, { program: req.program, upstream: req.upstream })
+    const result = await dispatchSending.sendDispatch(state, req, { signal, traceparent: upstreamSpan.traceparent, onDelta }, timers)
+    state.slots.release()
     const status = result.ok ? 'ok' : 'error'
-    sent.end(status)
-    waiting.end(status)
+    upstreamSpan.end(status)
+    dispatchSpan.end(status)
     return result
   }
 
-  async seal (wanted: types.Seal): Promise<errors.Result<types.SealState>> {
-    return errors.ok(this.records.seal(wanted))
+  async seal (req: types.Seal): Promise<errors.Result<types.SealState>> {
+    return errors.ok(this.records.seal(req))
   }
 
   async hold (program: types.ProgramId, term: types.Term, upstream: types.UpstreamId, holdMs: number): Promise<errors.Result<void>> {
@@ -133,36 +133,36 @@
   }
 
   private async withHolds (upstream: types.UpstreamId, use: (holds: prefixHolds.PrefixHolds) => Promise<errors.Result<void>>): Promise<errors.Result<void>> {
-    const holds = this.doors.get(upstream)?.holds ?? null
-    return holds === null ? errors.fail(this.unknownUpstream(upstream)) : await use(holds)
+    const holds = this.upstreams.get(upstream)?.holds ?? null
+    return holds === null ? errors.fail(this.createUnknownUpstreamFailure(upstream)) : await use(holds)
   }
 
-  private unknownUpstream (upstream: types.UpstreamId): errors.Failure {
+  private createUnknownUpstreamFailure (upstream: types.UpstreamId): errors.Failure {
     const message = `${upstream} is not an upstream of ${this.settings.self.host}`
     return { tag: 'upstreamUnavailable', verdict: 'notRun', message, retryAfterMs: unavailableRetryMs }
   }
 
-  private async askLoads (): Promise<void> {
-    await Promise.all([...this.doors.values()].map(doorOf.askLoad))
+  private async refreshLoads (): Promise<void> {
+    await Promise.all([...this.upstreams.values()].map(upstreamStates.refreshLoad))
   }
 
-  status (): readonly types.UpstreamStatus[] {
-    return [...this.doors.values()].map(doorOf.statusOf)
+  getStatus (): readonly types.UpstreamStatus[] {
+    return [...this.upstreams.values()].map(upstreamStates.getStatus)
   }
 
-  loads (): readonly types.UpstreamLoad[] {
+  getLoads (): readonly types.UpstreamLoad[] {
     const now = this.settings.timers.now()
-    return [...this.doors.values()].map((door) => doorOf.loadOf(door, now))
+    return [...this.upstreams.values()].map((state) => upstreamStates.getLoad(state, now))
   }
 
-  callsInFlight (): number {
+  countCallsInFlight (): number {
     let calls = 0
-    for (const door of this.doors.values()) calls += door.slots.running + door.slots.waiting
+    for (const state of this.upstreams.values()) calls += state.slots.running + state.slots.waiting
     return calls
   }
 
   close (): void {
     for (const subscription of this.subscriptions) subscription.cancel()
-    for (const door of this.doors.values()) door.holds?.close()
+    for (const state of this.upstreams.values()) state.holds?.close()
   }
 }
--- a/packages/programs/guard-upstream/src/upstream-slots.ts
+++ b/packages/programs/guard-upstream/src/upstream-slots.ts
@@ -1,41 +1,41 @@
-/** Bounds the calls that run on one upstream at once; those waiting go in the order of the queue's rule. */
+/** Limits the calls that run on one upstream concurrently; further calls wait in a queue with an order rule. */
 import * as orderQueue from '@eelgrasswind/order-queue'
 import type * as types from '@eelgrasswind/types'
 
-export interface Waiting {
-  /** Leaves the queue; false when its turn has come. */
+export interface QueueEntry {
+  /** Removes the call from the queue; returns false if it has started already. */
   cancel: () => boolean
 }
 
 export interface UpstreamSlots {
   readonly running: number
   readonly waiting: number
-  /** Calls start when it is the call's turn, at once where a slot is free. */
-  enter: (program: types.ProgramId, input: types.QueueInput, start: () => void) => Waiting
-  /** A call that had started has ended. */
-  leave: () => void
+  /** Calls `start` when the call gets a slot: at once if one is free, else from the queue. */
+  acquire: (program: types.ProgramId, input: types.QueueInput, start: () => void) => QueueEntry
+  /** Frees the slot of a call that has ended. */
+  release: () => void
   resize: (slots: number) => void
-  /** Orders those that wait by another rule. */
+  /** Orders the queued calls by another rule. */
   setRule: (rule: orderQueue.OrderRule) => void
 }
 
 export function createUpstreamSlots (slots: number, rule: orderQueue.OrderRule, now: () => number): UpstreamSlots {
   let queue = orderQueue.createOrderQueue<() => void>(rule)
-  let limit = slots
-  let running = 0
+  let maxRunning = slots
+  let runningCount = 0
 
   function startNext (): void {
-    while (running < limit) {
-      const taken = queue.pop(now())
-      if (taken === undefined) return
-      running += 1
-      taken.item.value()
+    while (runningCount < maxRunning) {
+      const next = queue.pop(now())
+      if (next === undefined) return
+      runningCount += 1
+      next.item.value()
     }
   }
 
-  function enter (program: types.ProgramId, input: types.QueueInput, start: () => void): Waiting {
-    if (running < limit && queue.size === 0) {
-      running += 1
+  function acquire (program: types.ProgramId, input: types.QueueInput, start: () => void): QueueEntry {
+    if (runningCount < maxRunning && queue.size === 0) {
+      runningCount += 1
       start()
       return { cancel: () => false }
     }
@@ -53,27 +53,27 @@
     return { cancel: () => queue.remove(item) }
   }
 
-  function leave (): void {
-    running -= 1
+  function release (): void {
+    runningCount -= 1
     startNext()
   }
 
-  function resize (next: number): void {
-    limit = next
+  function resize (newSlots: number): void {
+    maxRunning = newSlots
     startNext()
   }
 
-  function setRule (next: orderQueue.OrderRule): void {
-    const waiting = [...queue.items()]
-    queue = orderQueue.createOrderQueue<() => void>(next)
-    for (const item of waiting) queue.push(item)
+  function setRule (newRule: orderQueue.OrderRule): void {
+    const queuedItems = [...queue.items()]
+    queue = orderQueue.createOrderQueue<() => void>(newRule)
+    for (const item of queuedItems) queue.push(item)
   }
 
   return {
-    get running () { return running },
+    get running () { return runningCount },
     get waiting () { return queue.size },
-    enter,
-    leave,
+    acquire,
+    release,
     resize,
     setRule
   }
--- a/packages/programs/guard-upstream/src/wait-for-slot.ts
+++ b/packages/programs/guard-upstream/src/wait-for-slot.ts
@@ -1,44 +1,44 @@
-/** Waits for a dispatch's turn at its upstream. */
+/** Waits until a dispatch gets a slot of its upstream. */
 import * as errors from '@eelgrasswind/errors'
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 import type * as upstreamSlots from './upstream-slots.js'
 
 /**
- * Ok when the turn has come: the caller then owns a slot and must leave it. Otherwise the dispatch has left
- * the queue without running: its time was up, or it was given up. `onStart` is called as the turn comes, before
- * anything else can.
+ * Resolves with ok once the dispatch has a slot, which the caller must release. Otherwise the dispatch has left the
+ * queue without running: it timed out or was cancelled. `onStart` is called synchronously when the slot is assigned,
+ * before any other code runs.
  */
-export function awaitTurn (slots: upstreamSlots.UpstreamSlots, req: types.Dispatch, signal: AbortSignal, timers: timerService.TimerService, onStart: () => void): Promise<errors.Result<void>> {
+export function waitForSlot (slots: upstreamSlots.UpstreamSlots, req: types.Dispatch, signal: AbortSignal, timers: timerService.TimerService, onStart: () => void): Promise<errors.Result<void>> {
   return new Promise((resolve) => {
     if (signal.aborted) {
-      resolve(errors.fail(givenUp))
+      resolve(errors.fail(cancelledFailure))
       return
     }
-    const expiry = timers.after(req.timeoutMs, () => leave(timedOut(req.timeoutMs)))
-    const onAbort = (): void => leave(givenUp)
+    const timeout = timers.after(req.timeoutMs, () => leaveQueue(createTimeoutFailure(req.timeoutMs)))
+    const onAbort = (): void => leaveQueue(cancelledFailure)
     signal.addEventListener('abort', onAbort, { once: true })
-    const waiting = slots.enter(req.program, req.queue, () => {
-      stopWaiting()
+    const queueEntry = slots.acquire(req.program, req.queue, () => {
+      removeListeners()
       onStart()
       resolve(errors.ok(undefined))
     })
 
-    function leave (failure: errors.Failure): void {
-      if (!waiting.cancel()) return
-      stopWaiting()
+    function leaveQueue (failure: errors.Failure): void {
+      if (!queueEntry.cancel()) return
+      removeListeners()
       resolve(errors.fail(failure))
     }
 
-    function stopWaiting (): void {
-      expiry.cancel()
+    function removeListeners (): void {
+      timeout.cancel()
       signal.removeEventListener('abort', onAbort)
     }
   })
 }
 
-const givenUp: errors.Failure = { tag: 'cancelled', verdict: 'notRun', message: 'given up before its turn' }
+const cancelledFailure: errors.Failure = { tag: 'cancelled', verdict: 'notRun', message: 'cancelled while queued' }
 
-function timedOut (afterMs: number): errors.Failure {
-  return { tag: 'timeout', verdict: 'notRun', message: 'its turn did not come in time', afterMs }
+function createTimeoutFailure (afterMs: number): errors.Failure {
+  return { tag: 'timeout', verdict: 'notRun', message: 'timed out while queued', afterMs }
 }
--- a/packages/programs/sidecar/src/sidecar.ts
+++ b/packages/programs/sidecar/src/sidecar.ts
@@ -1,4 +1,4 @@
-/** The process beside an upstream host: the door to its upstreams, and the home of a share of the programs. */
+/** The sidecar process of a host: all calls to the host's upstreams go through it, and it is the home of a part of the programs. */
 import * as appendJournal from '@eelgrasswind/append-journal'
 import type * as configState from '@eelgrasswind/config-state'
 import * as guardUpstream from '@eelgrasswind/guard-upstream'
@@ -19,20 +19,20 @@
 export async function startSidecar (cfg: settings.SidecarSettings): Promise<processBase.RunningProcess> {
   const base = await processBase.openProcessBase('eelgrasswind-sidecar', cfg)
   const { self, timers, logger, directory } = base
-  const config = requireConfig(base)
-  let leaving = false
+  const config = createConfigGetter(base)
+  let isLeaving = false
 
   const guard = new guardUpstream.UpstreamGuard({ self, timers, logger, tracer: base.tracer, orderRule: orderQueue.defaultOrderRule })
   const upstreams = new ownUpstreams.OwnUpstreams(self.host, guard, cfg)
-  const known = new upstreamDirectory.UpstreamDirectory({ self: self.host, region: cfg.region as types.RegionId, directory, config, timers, random: Math.random })
-  const { config: first } = await base.configFollower.waitForFirst()
+  const knownUpstreams = new upstreamDirectory.UpstreamDirectory({ self: self.host, region: cfg.region as types.RegionId, directory, config, timers, random: Math.random })
+  const { config: initialConfig } = await base.configFollower.waitForFirst()
   const journal = await appendJournal.createJournal({
     log: base.logService,
     timers,
     logger,
     ...cfg.journal,
-    retentionMs: first.limits.retentionMs,
-    snapshotMs: first.limits.snapshotMs,
+    retentionMs: initialConfig.limits.retentionMs,
+    snapshotMs: initialConfig.limits.snapshotMs,
     onSuperseded: (program) => home.handleSuperseded(program)
   })
   const home: programHome.ProgramHome = new programHome.ProgramHome({
@@ -42,36 +42,36 @@
     logger,
     config,
     hosts: ports.createHostsPort(self.host, directory),
-    upstreams: known,
+    upstreams: knownUpstreams,
     dispatchPort: ports.createDispatchPort(self.host, guard, directory),
     placeRule: placeCall.defaultPlaceRule,
     tracer: base.tracer,
     metrics: base.metrics,
-    holdRule: () => rules.holdRuleOf(config().limits.holdRule),
-    admissionRule: () => rules.admissionRuleOf(config().limits.admissionRule),
-    cacheUsed: (upstream) => known.cacheUsed(upstream),
-    getLocalSlots: () => slotsOf(self.host, base, guard),
+    holdRule: () => rules.toHoldRule(config().limits.holdRule),
+    admissionRule: () => rules.toAdmissionRule(config().limits.admissionRule),
+    cacheUsed: (upstream) => knownUpstreams.getCacheUtilization(upstream),
+    getLocalSlots: () => countSlots(self.host, base, guard),
     random: Math.random
   })
 
   const lender = new shareLender.ShareLender(base.config, timers)
 
-  const applyConfig = (next: configState.Config): void => {
-    guard.setOrderRule(rules.orderRuleOf(next.limits.queueRule))
-    upstreams.apply(next)
+  const applyConfig = (newConfig: configState.Config): void => {
+    guard.setOrderRule(rules.toOrderRule(newConfig.limits.queueRule))
+    upstreams.apply(newConfig)
   }
-  base.configFollower.subscribe(({ config: next }) => applyConfig(next))
+  base.configFollower.subscribe(({ config: newConfig }) => applyConfig(newConfig))
   applyConfig(config())
   const gauges = processBase.startProcessMetrics(base, sidecarMetrics.createSidecarMetrics(base.metrics, home, guard, journal))
-  const snapshots = timers.every(snapshotPeriodMs, () => { void home.writeSnapshots() })
+  const snapshots = timers.every(snapshotIntervalMs, () => { void home.writeSnapshots() })
   const server = await sidecarClient.startPeerServer({
     bindAddress: cfg.bindAddress,
     port: cfg.peerPort,
-    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: base.configFollower.current()?.version ?? noConfigVersion }),
+    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving: isLeaving, configVersion: base.configFollower.current()?.version ?? noConfigVersion }),
     process: processBase.createProcessHandlers(base, {
-      status: () => statusOf(cfg, base, home, guard, journal, leaving),
+      status: () => createStatus(cfg, base, home, guard, journal, isLeaving),
       explain: (program, key) => home.explain(program, key),
-      loads: () => guard.loads()
+      loads: () => guard.getLoads()
     }),
     home,
     upstream: guard,
@@ -79,7 +79,7 @@
   })
 
   async function drain (): Promise<void> {
-    leaving = true
+    isLeaving = true
     await home.drain()
     await server.drain()
   }
@@ -98,27 +98,27 @@
   return { readyLine: { ready: true as const, binary: 'eelgrasswind-sidecar', peerAddress: `http://${cfg.bindAddress}:${server.port}` }, drain, close, logger }
 }
 
-/** How often programs are looked through for snapshots that are due, in milliseconds. */
-const snapshotPeriodMs = 60_000
+/** Interval at which programs are checked for snapshots that are due, in milliseconds. */
+const snapshotIntervalMs = 60_000
 const noConfigVersion = 0 as types.ConfigVersion
 
-/** Requests come only after the first configuration; a home asked earlier is a fault of this file. */
-function requireConfig (base: processBase.ProcessBase) {
+/** Returns a getter of the configuration. Requests are served only after the first one is loaded, so a missing one is a bug. */
+function createConfigGetter (base: processBase.ProcessBase) {
   return () => {
     const config = base.config()
-    if (config === undefined) throw new Error('there is no configuration yet')
+    if (config === undefined) throw new Error('no configuration is loaded yet')
     return config
   }
 }
 
-function slotsOf (host: types.HostId, base: processBase.ProcessBase, guard: guardUpstream.UpstreamGuard): { slots: number, waiting: number } {
+function countSlots (host: types.HostId, base: processBase.ProcessBase, guard: guardUpstream.UpstreamGuard): { slots: number, waiting: number } {
   const engines = base.config()?.hosts.get(host)?.upstreams.filter((upstream) => upstream.type === 'engine') ?? []
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0)
-  const waiting = guard.status().reduce((sum, { type, waiting: calls }) => type === 'engine' ? sum + calls : sum, 0)
+  const waiting = guard.getStatus().reduce((sum, { type, waiting: calls }) => type === 'engine' ? sum + calls : sum, 0)
   return { slots, waiting }
 }
 
-function statusOf (cfg: settings.SidecarSettings, base: processBase.ProcessBase, home: programHome.ProgramHome, guard: guardUpstream.UpstreamGuard, journal: appendJournal.Journal, leaving: boolean): types.ProcessStatus {
+function createStatus (cfg: settings.SidecarSettings, base: processBase.ProcessBase, home: programHome.ProgramHome, guard: guardUpstream.UpstreamGuard, journal: appendJournal.Journal, isLeaving: boolean): types.ProcessStatus {
   return {
     host: base.self.host,
     role: 'sidecar',
@@ -127,10 +127,10 @@
     incarnation: base.self.incarnation,
     startedAt: base.startedAt,
     configVersion: base.configFollower.current()?.version ?? noConfigVersion,
-    leaving,
+    leaving: isLeaving,
     programsAtHome: home.programCount,
-    callsInFlight: guard.callsInFlight(),
+    callsInFlight: guard.countCallsInFlight(),
     journal: { ...journal.getCounters() },
-    upstreams: guard.status()
+    upstreams: guard.getStatus()
   }
 }
