--- a/packages/programs/entry/src/caller-handlers.ts
+++ b/packages/programs/entry/src/caller-handlers.ts
@@ -1,4 +1,4 @@
-/** What an entry does with the requests of callers: fills in what the configuration says, and forwards. */
+/** Handlers of callers' requests: add the defaults of the configuration, and forward to the home of the program. */
 import type * as callerServer from '@eelgrasswind/caller-server'
 import type * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
@@ -12,14 +12,14 @@
 export interface CallerHandlerDeps {
   readonly forwarder: forwarding.Forwarder
   readonly timers: timerService.TimerService
-  readonly config: () => configState.Config | undefined
-  readonly homePatienceMs: number
+  readonly getConfig: () => configState.Config | undefined
+  readonly homeTimeoutMs: number
   readonly tracer: tracing.Tracing
   readonly limits: Pick<clientLimits.ClientLimits, 'take'>
-  readonly noteRequest: (name: string, startedAt: number, failure: errors.Failure | undefined) => void
+  readonly onRequestEnded: (name: string, startedAt: number, failure: errors.Failure | undefined) => void
 }
 
-/** Used for bodies before the first configuration has come, in bytes. */
+/** Limit of request bodies until the first configuration is loaded, in bytes. */
 const defaultMaxBodyBytes = 1_048_576
 
 interface CallDefaults {
@@ -27,18 +27,18 @@
   readonly timeoutMs: number
 }
 
-function unknownTarget (field: string, id: string): errors.Result<CallDefaults> {
+function failUnknownTarget (field: string, id: string): errors.Result<CallDefaults> {
   return errors.fail({ tag: 'unknownTarget', verdict: 'notRun', message: `${field} ${id} is not in the configuration`, field })
 }
 
-function defaultsOf (config: configState.Config, target: types.CallTarget): errors.Result<CallDefaults> {
+function findDefaults (config: configState.Config, target: types.CallTarget): errors.Result<CallDefaults> {
   switch (target.type) {
     case 'model':
-      if (!config.models.has(target.model)) return unknownTarget('model', target.model)
+      if (!config.models.has(target.model)) return failUnknownTarget('model', target.model)
       return errors.ok({ idempotent: true, timeoutMs: config.limits.callTimeoutMs })
     case 'service': {
       const service = config.services.get(target.service)
-      return service === undefined ? unknownTarget('service', target.service) : errors.ok(service)
+      return service === undefined ? failUnknownTarget('service', target.service) : errors.ok(service)
     }
     default: return errors.assertNever(target)
   }
@@ -47,64 +47,64 @@
 export function createCallerHandlers (deps: CallerHandlerDeps): callerServer.CallerHandlers {
   const tokens = new clientTokens.ClientTokens()
 
-  async function traced<T> (name: string, program: types.ProgramId, ctx: types.RequestContext, run: (ctx: types.RequestContext) => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
+  async function runInSpan<T> (name: string, program: types.ProgramId, ctx: types.RequestContext, run: (ctx: types.RequestContext) => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
     const startedAt = deps.timers.monotonic()
     const span = deps.tracer.startSpan(`entry ${name}`, ctx.traceparent, { program })
     const result = await run({ traceparent: span.traceparent })
     span.end(result.ok ? 'ok' : 'error')
-    deps.noteRequest(name, startedAt, result.ok ? undefined : result.failure)
+    deps.onRequestEnded(name, startedAt, result.ok ? undefined : result.failure)
     return result
   }
 
-  function patience (): number {
-    return deps.timers.monotonic() + deps.homePatienceMs
+  function computeDeadline (): number {
+    return deps.timers.monotonic() + deps.homeTimeoutMs
   }
 
   async function call (req: callerServer.CallRequest, ctx: types.RequestContext, sink: types.CallSink): Promise<errors.Result<types.CallEnd>> {
-    const config = deps.config()
-    if (config === undefined) return tokens.clientOf(undefined, undefined) as errors.Result<never>
-    const defaults = defaultsOf(config, req.target)
+    const config = deps.getConfig()
+    if (config === undefined) return tokens.findClient(undefined, undefined) as errors.Result<never>
+    const defaults = findDefaults(config, req.target)
     if (!defaults.ok) return defaults
-    const taken = await deps.limits.take(req.client, 'calls')
-    if (!taken.ok) return taken
-    const full: types.Call = {
+    const admitted = await deps.limits.take(req.client, 'calls')
+    if (!admitted.ok) return admitted
+    const completeCall: types.Call = {
       ...req,
       idempotent: req.idempotent ?? defaults.value.idempotent,
       timeoutMs: req.timeoutMs ?? defaults.value.timeoutMs
     }
-    const deadline = deps.timers.monotonic() + Math.max(full.timeoutMs, deps.homePatienceMs)
-    return await traced('call', req.program, ctx, (inner) => deps.forwarder.forward(req.program, deadline, (peer) => peer.call(full, inner, sink)))
+    const deadline = deps.timers.monotonic() + Math.max(completeCall.timeoutMs, deps.homeTimeoutMs)
+    return await runInSpan('call', req.program, ctx, (spanContext) => deps.forwarder.forward(req.program, deadline, (peer) => peer.call(completeCall, spanContext, sink)))
   }
 
   async function read (program: types.ProgramId, client: types.ClientId, history: boolean): Promise<errors.Result<types.ProgramDocument>> {
-    const result = await deps.forwarder.forward(program, patience(), (peer) => peer.read(program, history))
-    return result.ok ? ownedBy(result.value, client) : result
+    const result = await deps.forwarder.forward(program, computeDeadline(), (peer) => peer.read(program, history))
+    return result.ok ? checkOwner(result.value, client) : result
   }
 
   async function finish (program: types.ProgramId, client: types.ClientId, result: types.FinishResult, ctx: types.RequestContext): Promise<errors.Result<types.ProgramDocument>> {
-    const known = await read(program, client, false)
-    if (!known.ok) return known
-    return await traced('finish', program, ctx, (inner) => deps.forwarder.forward(program, patience(), (peer) => peer.finish(program, result, inner)))
+    const current = await read(program, client, false)
+    if (!current.ok) return current
+    return await runInSpan('finish', program, ctx, (spanContext) => deps.forwarder.forward(program, computeDeadline(), (peer) => peer.finish(program, result, spanContext)))
   }
 
   async function start (req: types.StartRequest, ctx: types.RequestContext): Promise<errors.Result<types.ProgramDocument>> {
-    const taken = await deps.limits.take(req.client, 'starts')
-    if (!taken.ok) return taken
-    return await traced('start', req.program, ctx, (inner) => deps.forwarder.forward(req.program, patience(), (peer) => peer.start(req, inner)))
+    const admitted = await deps.limits.take(req.client, 'starts')
+    if (!admitted.ok) return admitted
+    return await runInSpan('start', req.program, ctx, (spanContext) => deps.forwarder.forward(req.program, computeDeadline(), (peer) => peer.start(req, spanContext)))
   }
 
   return {
-    authorize: (token) => tokens.clientOf(deps.config(), token),
+    authorize: (token) => tokens.findClient(deps.getConfig(), token),
     start,
     call,
     finish,
     read,
-    getMaxBodyBytes: () => deps.config()?.limits.maxBodyBytes ?? defaultMaxBodyBytes
+    getMaxBodyBytes: () => deps.getConfig()?.limits.maxBodyBytes ?? defaultMaxBodyBytes
   }
 }
 
-/** A program of another client is as good as unknown. */
-function ownedBy (document: types.ProgramDocument, client: types.ClientId): errors.Result<types.ProgramDocument> {
+/** Reports a program of another client as unknown. */
+function checkOwner (document: types.ProgramDocument, client: types.ClientId): errors.Result<types.ProgramDocument> {
   if (document.summary.client === client) return errors.ok(document)
   return errors.fail({ tag: 'unknownProgram', verdict: 'notRun', message: `client ${client} has no program ${document.summary.program}` })
 }
--- a/packages/programs/entry/src/entry.ts
+++ b/packages/programs/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** The entry process: HTTP to callers, forwarding to each program's home; holds no program state. */
+/** The entry process: serves HTTP to callers and forwards requests to each program's home. It holds no program state. */
 import * as callerServer from '@eelgrasswind/caller-server'
 import * as processBase from '@eelgrasswind/process-base'
 import * as sidecarClient from '@eelgrasswind/sidecar-client'
@@ -11,25 +11,25 @@
 export async function startEntry (cfg: settings.EntrySettings): Promise<processBase.RunningProcess> {
   const base = await processBase.openProcessBase('eelgrasswind-entry', cfg)
   const { self, timers, logger, directory } = base
-  let leaving = false
-  let requests = 0
+  let isLeaving = false
+  let requestCount = 0
 
   const forwarder = new forwarding.Forwarder({
     timers,
     rankHomes: (program) => directory.rankHomes(program),
-    ask: (host, send) => directory.callPeer(host, send),
+    callPeer: (host, send) => directory.callPeer(host, send),
     isKnown: (host) => directory.stateOf(host) !== 'gone',
     random: Math.random
   })
   const handlers = callerHandlers.createCallerHandlers({
     forwarder,
     timers,
-    config: base.config,
-    homePatienceMs: cfg.homePatienceMs,
+    getConfig: base.config,
+    homeTimeoutMs: cfg.homePatienceMs,
     tracer: base.tracer,
-    limits: new clientLimits.ClientLimits({ self: self.host, timers, config: base.config, directory, onLimited: () => base.metrics.increment('client.limited') }),
-    noteRequest: (target, startedAt, failure) => {
-      requests += 1
+    limits: new clientLimits.ClientLimits({ self: self.host, timers, getConfig: base.config, directory, onLimited: () => base.metrics.increment('client.limited') }),
+    onRequestEnded: (target, startedAt, failure) => {
+      requestCount += 1
       base.metrics.increment('request.finished', 1, { target, result: failure?.tag ?? 'ok' })
       base.metrics.timing('request.latency', timers.monotonic() - startedAt, { target })
     }
@@ -37,9 +37,9 @@
   const peers = await sidecarClient.startPeerServer({
     bindAddress: cfg.bindAddress,
     port: cfg.peerPort,
-    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving, configVersion: versionOf(base) }),
+    getSender: () => ({ host: self.host, incarnation: self.incarnation, leaving: isLeaving, configVersion: getConfigVersion(base) }),
     process: processBase.createProcessHandlers(base, {
-      status: () => statusOf(cfg, base, leaving),
+      status: () => createStatus(cfg, base, isLeaving),
       explain: (program, key) => ({ program, key, decisions: [] }),
       loads: () => []
     })
@@ -49,9 +49,9 @@
   const callers = await callerServer.startCallerServer({ bindAddress: cfg.bindAddress, port: cfg.callerPort, handlers, logger })
 
   async function drain (): Promise<void> {
-    leaving = true
+    isLeaving = true
     await callers.drain()
-    logger.info({ requests }, 'no request is under way')
+    logger.info({ requests: requestCount }, 'no requests in flight')
   }
 
   async function close (): Promise<void> {
@@ -70,11 +70,11 @@
   return { readyLine: ready, drain, close, logger }
 }
 
-function versionOf (base: processBase.ProcessBase): types.ConfigVersion {
+function getConfigVersion (base: processBase.ProcessBase): types.ConfigVersion {
   return base.configFollower.current()?.version ?? 0 as types.ConfigVersion
 }
 
-function statusOf (cfg: settings.EntrySettings, base: processBase.ProcessBase, leaving: boolean): types.ProcessStatus {
+function createStatus (cfg: settings.EntrySettings, base: processBase.ProcessBase, isLeaving: boolean): types.ProcessStatus {
   return {
     host: base.self.host,
     role: 'entry',
@@ -82,8 +82,8 @@
     availabilityZone: cfg.availabilityZone as types.AvailabilityZoneId,
     incarnation: base.self.incarnation,
     startedAt: base.startedAt,
-    configVersion: versionOf(base),
-    leaving,
+    configVersion: getConfigVersion(base),
+    leaving: isLeaving,
     programsAtHome: 0,
     callsInFlight: 0,
     journal: {},
--- a/packages/programs/entry/src/forward.test.ts
+++ b/packages/programs/entry/src/forward.test.ts
@@ -7,58 +7,58 @@
 
 const program = 'p1' as types.ProgramId
 const [first, second, third] = ['engine-0', 'engine-1', 'engine-2'] as [types.HostId, types.HostId, types.HostId]
-const patienceMs = 5_000
-const gone: errors.Failure = { tag: 'peerUnavailable', verdict: 'notRun', message: 'refused', retryAfterMs: 500 }
+const timeoutMs = 5_000
+const unavailable: errors.Failure = { tag: 'peerUnavailable', verdict: 'notRun', message: 'refused', retryAfterMs: 500 }
 
-function namesHome (home: types.HostId): errors.Failure {
+function createNotHomeFailure (home: types.HostId): errors.Failure {
   return { tag: 'notHome', verdict: 'notRun', message: `${home} is its home`, home, retryAfterMs: 500 }
 }
 
-/** A forwarder over hosts that answer by what the function gives for a host and a time, in ms. */
-function createWorld (answerOf: (host: types.HostId, at: number) => errors.Result<string>) {
+/** Creates a forwarder to hosts whose answers a function of host and time in milliseconds gives. */
+function createFixture (getAnswer: (host: types.HostId, at: number) => errors.Result<string>) {
   const timers = timerService.createManualTimers()
   const startedAt = timers.monotonic()
-  const asked: types.HostId[] = []
+  const triedHosts: types.HostId[] = []
   const forwarder = new forwarding.Forwarder({
     timers,
     rankHomes: () => [first, second, third],
     isKnown: () => true,
     random: () => 0.5,
-    async ask<T> (host: types.HostId) {
-      asked.push(host)
-      return answerOf(host, timers.monotonic() - startedAt) as errors.Result<T>
+    async callPeer<T> (host: types.HostId) {
+      triedHosts.push(host)
+      return getAnswer(host, timers.monotonic() - startedAt) as errors.Result<T>
     }
   })
   async function forward (): Promise<errors.Result<string>> {
-    const result = forwarder.forward<string>(program, timers.monotonic() + patienceMs, async (_peer: sidecarClient.PeerClient) => errors.ok(''))
-    for (let at = 0; at < 2 * patienceMs; at += 50) await timers.advanceAsync(50)
+    const result = forwarder.forward<string>(program, timers.monotonic() + timeoutMs, async (_peer: sidecarClient.PeerClient) => errors.ok(''))
+    for (let at = 0; at < 2 * timeoutMs; at += 50) await timers.advanceAsync(50)
     return await result
   }
-  return { asked, forward }
+  return { triedHosts, forward }
 }
 
-// Guards against "503 notHome beside a healthy home": a host that was away once was passed over for the whole request.
-tap.test('a home that came back under another address is asked again once another host names it', async (t) => {
-  const { forward } = createWorld((host, at) => {
-    if (host !== first) return errors.fail(namesHome(first))
-    return at < 1_000 ? errors.fail(gone) : errors.ok('whole')
+// Guards against 503 notHome although the home is healthy: a host that was unreachable once was skipped for the rest of the request.
+tap.test('a home that is reachable again at another address is retried once another host names it', async (t) => {
+  const { forward } = createFixture((host, at) => {
+    if (host !== first) return errors.fail(createNotHomeFailure(first))
+    return at < 1_000 ? errors.fail(unavailable) : errors.ok('whole')
   })
   t.same(await forward(), errors.ok('whole'))
 })
 
-tap.test('a home that stays away is given up, with the time to come back', async (t) => {
-  const { forward, asked } = createWorld((host) => errors.fail(host === first ? gone : namesHome(first)))
+tap.test('a request whose home stays unreachable fails with a retry-after time', async (t) => {
+  const { forward, triedHosts } = createFixture((host) => errors.fail(host === first ? unavailable : createNotHomeFailure(first)))
   t.match(await forward(), { ok: false, failure: { verdict: 'notRun', retryAfterMs: 500 } })
-  t.ok(asked.length <= 12, `${asked.length} requests`)
+  t.ok(triedHosts.length <= 12, `${triedHosts.length} requests`)
 })
 
-tap.test('the next host is asked at once where the home is away', async (t) => {
-  const { forward, asked } = createWorld((host) => host === first ? errors.fail(gone) : errors.ok('whole'))
+tap.test('the next host is tried at once if the home is unreachable', async (t) => {
+  const { forward, triedHosts } = createFixture((host) => host === first ? errors.fail(unavailable) : errors.ok('whole'))
   t.same(await forward(), errors.ok('whole'))
-  t.same(asked, [first, second])
+  t.same(triedHosts, [first, second])
 })
 
-tap.test('the verdict covers every host that was asked', async (t) => {
-  const { forward } = createWorld((host) => errors.fail(host === first ? { ...gone, verdict: 'mayHaveRun' } : namesHome(third)))
+tap.test('the verdict covers every host that was tried', async (t) => {
+  const { forward } = createFixture((host) => errors.fail(host === first ? { ...unavailable, verdict: 'mayHaveRun' } : createNotHomeFailure(third)))
   t.match(await forward(), { ok: false, failure: { verdict: 'mayHaveRun' } })
 })
