--- a/packages/programs/sidecar/src/index.ts
+++ b/packages/programs/sidecar/src/index.ts
@@ -1,3 +1,3 @@
-/** The process beside each upstream host. */
+/** The sidecar process, one on each host that has upstreams. */
 export * from './settings.js'
 export * from './sidecar.js'
--- a/packages/programs/sidecar/src/own-upstreams.ts
+++ b/packages/programs/sidecar/src/own-upstreams.ts
@@ -1,4 +1,4 @@
-/** Keeps the door's upstreams as the configuration says for this host. */
+/** Updates the upstreams of the upstream guard by the configuration of this host. */
 import type * as configState from '@eelgrasswind/config-state'
 import * as engineClient from '@eelgrasswind/engine-client'
 import * as errors from '@eelgrasswind/errors'
@@ -7,33 +7,33 @@
 import type * as types from '@eelgrasswind/types'
 import type * as settings from './settings.js'
 
-interface Opened {
+interface OpenUpstream {
   readonly address: string
   readonly guarded: guardUpstream.GuardedUpstream
 }
 
 export class OwnUpstreams {
-  private opened = new Map<types.UpstreamId, Opened>()
+  private openUpstreams = new Map<types.UpstreamId, OpenUpstream>()
 
   constructor (private readonly host: types.HostId, private readonly guard: guardUpstream.UpstreamGuard, private readonly cfg: settings.SidecarSettings) {}
 
   apply (config: configState.Config): void {
     const wanted = config.hosts.get(this.host)?.upstreams ?? []
-    const next = new Map(wanted.map((upstream) => [upstream.id, this.keepOrOpen(upstream)]))
-    for (const [id, { guarded }] of this.opened) {
-      if (next.get(id)?.guarded.client !== guarded.client) void guarded.client.close()
+    const nextUpstreams = new Map(wanted.map((upstream) => [upstream.id, this.keepOrOpen(upstream)]))
+    for (const [id, { guarded }] of this.openUpstreams) {
+      if (nextUpstreams.get(id)?.guarded.client !== guarded.client) void guarded.client.close()
     }
-    this.opened = next
-    this.guard.setUpstreams([...next.values()].map(({ guarded }) => guarded))
+    this.openUpstreams = nextUpstreams
+    this.guard.setUpstreams([...nextUpstreams.values()].map(({ guarded }) => guarded))
   }
 
-  private keepOrOpen (upstream: configState.Upstream): Opened {
-    const known = this.opened.get(upstream.id)
-    if (known === undefined || known.address !== upstream.address || known.guarded.type !== upstream.type) return this.open(upstream)
-    return { address: known.address, guarded: { ...known.guarded, slots: upstream.slots } }
+  private keepOrOpen (upstream: configState.Upstream): OpenUpstream {
+    const current = this.openUpstreams.get(upstream.id)
+    if (current === undefined || current.address !== upstream.address || current.guarded.type !== upstream.type) return this.open(upstream)
+    return { address: current.address, guarded: { ...current.guarded, slots: upstream.slots } }
   }
 
-  private open (upstream: configState.Upstream): Opened {
+  private open (upstream: configState.Upstream): OpenUpstream {
     const { id, address, slots } = upstream
     switch (upstream.type) {
       case 'engine': {
@@ -49,6 +49,6 @@
   }
 
   async close (): Promise<void> {
-    await Promise.all([...this.opened.values()].map(({ guarded }) => guarded.client.close()))
+    await Promise.all([...this.openUpstreams.values()].map(({ guarded }) => guarded.client.close()))
   }
 }
--- a/packages/programs/sidecar/src/ports.ts
+++ b/packages/programs/sidecar/src/ports.ts
@@ -1,4 +1,4 @@
-/** Joins the home of programs to the other processes: what is for this host goes straight to its own door. */
+/** Connects the program home to the other processes; requests to this host go directly to its own upstream guard. */
 import * as errors from '@eelgrasswind/errors'
 import type * as guardUpstream from '@eelgrasswind/guard-upstream'
 import type * as processBase from '@eelgrasswind/process-base'
--- a/packages/programs/sidecar/src/rules.ts
+++ b/packages/programs/sidecar/src/rules.ts
@@ -1,4 +1,4 @@
-/** The rules that the configuration chooses by name, with their defaults for all else. */
+/** Converts the rule names of the configuration to rules with default parameters. */
 import * as admitProgram from '@eelgrasswind/admit-program'
 import type * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
@@ -7,9 +7,9 @@
 
 const starvationMs = 60_000
 const fixedHoldMs = 10_000
-const waitingPerSlot = 2
+const maxWaitingPerSlot = 2
 
-export function orderRuleOf (name: configState.QueueRule): orderQueue.OrderRule {
+export function toOrderRule (name: configState.QueueRule): orderQueue.OrderRule {
   switch (name) {
     case 'fifo': return { type: 'fifo' }
     case 'earliestDeadline': return { type: 'earliestDeadline', starvationMs }
@@ -19,7 +19,7 @@
   }
 }
 
-export function holdRuleOf (name: configState.HoldRule): retainPrefix.HoldRule {
+export function toHoldRule (name: configState.HoldRule): retainPrefix.HoldRule {
   switch (name) {
     case 'always': return { type: 'always' }
     case 'never': return { type: 'never' }
@@ -29,10 +29,10 @@
   }
 }
 
-export function admissionRuleOf (name: configState.AdmissionRule): admitProgram.AdmissionRule {
+export function toAdmissionRule (name: configState.AdmissionRule): admitProgram.AdmissionRule {
   switch (name) {
     case 'none': return { type: 'none' }
-    case 'queueBound': return { type: 'queueBound', waitingPerSlot }
+    case 'queueBound': return { type: 'queueBound', waitingPerSlot: maxWaitingPerSlot }
     case 'inTime': return admitProgram.defaultAdmissionRule
     default: return errors.assertNever(name)
   }
--- a/packages/programs/sidecar/src/run-sidecar.ts
+++ b/packages/programs/sidecar/src/run-sidecar.ts
@@ -1,4 +1,4 @@
-/** Reads the settings of an eelgrasswind-sidecar and runs it until it is told to leave. */
+/** Reads the settings of an eelgrasswind-sidecar and runs it until a signal stops it. */
 import * as processBase from '@eelgrasswind/process-base'
 import type * as processSignals from '@eelgrasswind/process-signals'
 import * as sidecar from './sidecar.js'
--- a/packages/programs/sidecar/src/share-lender.ts
+++ b/packages/programs/sidecar/src/share-lender.ts
@@ -1,4 +1,4 @@
-/** The owner's side of clients' limits: lends shares to the entries that ask. */
+/** The owner of clients' limits: grants leases on shares of a limit to entries. */
 import type * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
 import * as limitClient from '@eelgrasswind/limit-client'
@@ -6,46 +6,46 @@
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** An owner that nobody asked for so long is forgotten, in milliseconds; far longer than any lease. */
-const forgetAfterMs = 60_000
+/** Idle time after which the state of a limit is deleted, in milliseconds; far longer than any lease. */
+const maxIdleMs = 60_000
 
 type LimitKey = `${types.ClientId}/${types.LimitName}`
 
 export class ShareLender implements sidecarClient.LimitHandlers {
   private readonly owners = new Map<LimitKey, limitClient.ShareOwner>()
-  private readonly forgetting: timerService.Subscription
+  private readonly expiryTimer: timerService.Subscription
 
-  constructor (private readonly config: () => configState.Config | undefined, private readonly timers: timerService.TimerService) {
-    this.forgetting = timers.every(forgetAfterMs, () => this.forgetOld())
+  constructor (private readonly getConfig: () => configState.Config | undefined, private readonly timers: timerService.TimerService) {
+    this.expiryTimer = timers.every(maxIdleMs, () => this.deleteIdle())
   }
 
-  readonly borrowShare = async (wish: types.ShareRequest): Promise<errors.Result<types.ShareLease>> => {
-    const client = this.config()?.clients.get(wish.client)
-    if (client === undefined) return errors.fail({ tag: 'unknownTarget', verdict: 'notRun', message: `client ${wish.client} is not in the configuration`, field: 'client' })
-    const limit = limitClient.getClientLimit(client, wish.limit)
+  readonly borrowShare = async (request: types.ShareRequest): Promise<errors.Result<types.ShareLease>> => {
+    const client = this.getConfig()?.clients.get(request.client)
+    if (client === undefined) return errors.fail({ tag: 'unknownTarget', verdict: 'notRun', message: `client ${request.client} is not in the configuration`, field: 'client' })
+    const limit = limitClient.getClientLimit(client, request.limit)
     const now = this.timers.monotonic()
-    const key: LimitKey = `${wish.client}/${wish.limit}`
-    const { owner, grant } = limitClient.grantShare(this.ownerOf(key, limit, now), wish, now)
+    const key: LimitKey = `${request.client}/${request.limit}`
+    const { owner, grant } = limitClient.grantShare(this.getOwner(key, limit, now), request, now)
     this.owners.set(key, owner)
     return errors.ok(grant)
   }
 
   /** A limit that has changed takes effect with the next lease of each holder. */
-  private ownerOf (key: LimitKey, limit: limitClient.ClientLimit, now: number): limitClient.ShareOwner {
-    const known = this.owners.get(key)
-    if (known === undefined) return limitClient.createShareOwner(limit, now)
-    const same = known.limit.perSecond === limit.perSecond && known.limit.burst === limit.burst
-    return same ? known : { ...known, limit }
+  private getOwner (key: LimitKey, limit: limitClient.ClientLimit, now: number): limitClient.ShareOwner {
+    const current = this.owners.get(key)
+    if (current === undefined) return limitClient.createShareOwner(limit, now)
+    const isUnchanged = current.limit.perSecond === limit.perSecond && current.limit.burst === limit.burst
+    return isUnchanged ? current : { ...current, limit }
   }
 
-  private forgetOld (): void {
-    const before = this.timers.monotonic() - forgetAfterMs
+  private deleteIdle (): void {
+    const idleBefore = this.timers.monotonic() - maxIdleMs
     for (const [key, owner] of this.owners) {
-      if (owner.at < before) this.owners.delete(key)
+      if (owner.at < idleBefore) this.owners.delete(key)
     }
   }
 
   close (): void {
-    this.forgetting.cancel()
+    this.expiryTimer.cancel()
   }
 }
--- a/packages/programs/sidecar/src/upstream-directory.ts
+++ b/packages/programs/sidecar/src/upstream-directory.ts
@@ -1,4 +1,4 @@
-/** Which upstreams may take a call, and what this process knows of their load. */
+/** Lists the upstreams that can take a call, with the load that this process knows of. */
 import type * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
 import * as placeCall from '@eelgrasswind/place-call'
@@ -7,7 +7,7 @@
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** Candidates that one placement weighs; a larger fleet is sampled. */
+/** Maximum number of candidates of one placement; of more upstreams a sample is taken. */
 const maxCandidates = 16
 
 interface KnownUpstream {
@@ -17,10 +17,10 @@
   readonly slots: number
 }
 
-interface LoadSeen {
+interface LastLoad {
   readonly reported: placeCall.ReportedLoad
   readonly inFlightAtReport: number
-  readonly cacheUsed: number
+  readonly cacheUtilization: number
 }
 
 export interface UpstreamDirectoryDeps {
@@ -36,64 +36,64 @@
 
 export class UpstreamDirectory implements programHome.UpstreamsPort {
   private readonly inFlight = new Map<types.UpstreamId, number>()
-  private readonly loads = new Map<types.UpstreamId, LoadSeen>()
-  private readonly slow = placeCall.createSlowUpstreamDetector()
-  private byTarget = new Map<TargetName, KnownUpstream[]>()
-  private builtFor: configState.Config | undefined
+  private readonly loads = new Map<types.UpstreamId, LastLoad>()
+  private readonly slowDetector = placeCall.createSlowUpstreamDetector()
+  private upstreamsByTarget = new Map<TargetName, KnownUpstream[]>()
+  private indexedConfig: configState.Config | undefined
 
   constructor (private readonly deps: UpstreamDirectoryDeps) {}
 
   listCandidates (target: types.CallTarget, preferred: readonly types.UpstreamId[]): readonly placeCall.Candidate[] {
-    const known = this.serving(nameOf(target))
-    return this.sample(known, preferred).flatMap((upstream) => this.candidateOf(upstream))
+    const upstreams = this.findServing(formatTargetName(target))
+    return this.selectSample(upstreams, preferred).flatMap((upstream) => this.toCandidates(upstream))
   }
 
-  private serving (name: TargetName): readonly KnownUpstream[] {
+  private findServing (name: TargetName): readonly KnownUpstream[] {
     const config = this.deps.config()
-    if (config !== this.builtFor) this.build(config)
-    return this.byTarget.get(name) ?? []
+    if (config !== this.indexedConfig) this.rebuildIndex(config)
+    return this.upstreamsByTarget.get(name) ?? []
   }
 
-  private build (config: configState.Config): void {
-    this.builtFor = config
-    this.byTarget = new Map()
+  private rebuildIndex (config: configState.Config): void {
+    this.indexedConfig = config
+    this.upstreamsByTarget = new Map()
     for (const [host, { region, availabilityZone, upstreams }] of config.hosts) {
       if (region !== this.deps.region) continue
       for (const upstream of upstreams) {
         const known = { upstream: upstream.id, host, availabilityZone, slots: upstream.slots }
-        for (const name of namesOf(upstream)) this.add(name, known)
+        for (const name of listTargetNames(upstream)) this.addToIndex(name, known)
       }
     }
   }
 
-  private add (name: TargetName, known: KnownUpstream): void {
-    const list = this.byTarget.get(name) ?? []
-    list.push(known)
-    this.byTarget.set(name, list)
+  private addToIndex (name: TargetName, known: KnownUpstream): void {
+    const targetUpstreams = this.upstreamsByTarget.get(name) ?? []
+    targetUpstreams.push(known)
+    this.upstreamsByTarget.set(name, targetUpstreams)
   }
 
-  /** All where they are few; else the preferred ones, those of this host, and others drawn at random. */
-  private sample (known: readonly KnownUpstream[], preferred: readonly types.UpstreamId[]): readonly KnownUpstream[] {
+  /** Returns all upstreams if they are few; else the preferred ones, those of this host, and random others. */
+  private selectSample (known: readonly KnownUpstream[], preferred: readonly types.UpstreamId[]): readonly KnownUpstream[] {
     if (known.length <= maxCandidates) return known
     const chosen = new Set(known.filter((other) => other.host === this.deps.self || preferred.includes(other.upstream)))
-    for (let draws = 0; chosen.size < maxCandidates && draws < 4 * maxCandidates; draws += 1) {
+    for (let drawCount = 0; chosen.size < maxCandidates && drawCount < 4 * maxCandidates; drawCount += 1) {
       chosen.add(known[Math.floor(this.deps.random() * known.length)]!)
     }
     return [...chosen]
   }
 
-  private candidateOf (known: KnownUpstream): readonly placeCall.Candidate[] {
+  private toCandidates (known: KnownUpstream): readonly placeCall.Candidate[] {
     const state = this.deps.directory.stateOf(known.host)
     if (state === 'gone') return []
-    const seen = this.loads.get(known.upstream)
+    const lastLoad = this.loads.get(known.upstream)
     return [{
       ...known,
       state,
       inFlight: this.inFlight.get(known.upstream) ?? 0,
-      reported: seen?.reported,
-      inFlightAtReport: seen?.inFlightAtReport ?? 0,
+      reported: lastLoad?.reported,
+      inFlightAtReport: lastLoad?.inFlightAtReport ?? 0,
       cachedTokens: 0,
-      slowFactor: this.slow.getSlowFactor(known.upstream, this.deps.timers.monotonic())
+      slowFactor: this.slowDetector.getSlowFactor(known.upstream, this.deps.timers.monotonic())
     }]
   }
 
@@ -102,31 +102,31 @@
   }
 
   recordCallEnd (upstream: types.UpstreamId, load: types.UpstreamLoad | null): void {
-    const left = (this.inFlight.get(upstream) ?? 1) - 1
-    if (left > 0) this.inFlight.set(upstream, left)
+    const remaining = (this.inFlight.get(upstream) ?? 1) - 1
+    if (remaining > 0) this.inFlight.set(upstream, remaining)
     else this.inFlight.delete(upstream)
-    // The report was made while the call that brought it still counted as running.
-    if (load !== null) this.noteLoad({ ...load, running: Math.max(0, load.running - 1) })
+    // The load was reported while the call that ended still counted as running.
+    if (load !== null) this.recordLoad({ ...load, running: Math.max(0, load.running - 1) })
   }
 
-  noteLoad (load: types.UpstreamLoad): void {
+  recordLoad (load: types.UpstreamLoad): void {
     this.loads.set(load.upstream, {
       reported: { running: load.running, waiting: load.waiting, at: this.deps.timers.monotonic() },
       inFlightAtReport: this.inFlight.get(load.upstream) ?? 0,
-      cacheUsed: load.cacheCapacity > 0 ? Math.min(1, load.cacheTokens / load.cacheCapacity) : 0
+      cacheUtilization: load.cacheCapacity > 0 ? Math.min(1, load.cacheTokens / load.cacheCapacity) : 0
     })
   }
 
   recordSpeed (upstream: types.UpstreamId, tokens: number, elapsedMs: number): void {
-    this.slow.observe(upstream, tokens, elapsedMs, this.deps.timers.monotonic())
+    this.slowDetector.observe(upstream, tokens, elapsedMs, this.deps.timers.monotonic())
   }
 
-  cacheUsed (upstream: types.UpstreamId): number {
-    return this.loads.get(upstream)?.cacheUsed ?? 0
+  getCacheUtilization (upstream: types.UpstreamId): number {
+    return this.loads.get(upstream)?.cacheUtilization ?? 0
   }
 }
 
-function nameOf (target: types.CallTarget): TargetName {
+function formatTargetName (target: types.CallTarget): TargetName {
   switch (target.type) {
     case 'model': return `model ${target.model}`
     case 'service': return `service ${target.service}`
@@ -134,7 +134,7 @@
   }
 }
 
-function namesOf (upstream: configState.Upstream): readonly TargetName[] {
+function listTargetNames (upstream: configState.Upstream): readonly TargetName[] {
   switch (upstream.type) {
     case 'engine': return upstream.models.map((model) => `model ${model}` as const)
     case 'service': return [`service ${upstream.service}`]
