--- a/packages/base/errors/src/failure.ts
+++ b/packages/base/errors/src/failure.ts
@@ -6,6 +6,7 @@
   readonly message: string
 }
 
+/** A failure of a request. The tag selects the other fields; times are in milliseconds. */
 export type Failure =
   /** A field of the request is invalid. */
   | CommonFields & { readonly tag: 'invalidRequest', readonly field: string, readonly expected: string }
@@ -46,6 +47,7 @@
   | CommonFields & { readonly tag: 'internal' }
 
 export type FailureTag = Failure['tag']
+/** The failures with a given tag. */
 export type FailureOf<Tag extends FailureTag> = Extract<Failure, { tag: Tag }>
 
 /** Carries a failure through code that throws. */
--- a/packages/base/errors/src/http-exchange.ts
+++ b/packages/base/errors/src/http-exchange.ts
@@ -7,6 +7,7 @@
 /** Header names and values alternating, as received. */
 export type RawHeaders = readonly Buffer[]
 
+/** Outcome of a request. `sent` tells whether the request was passed to a connection, `status` is that of the answer if its headers arrived. */
 export type ExchangeOutcome =
   /** A complete answer that carries the id of the request. */
   | { readonly type: 'answered', readonly status: number, readonly headers: RawHeaders, readonly body: Buffer }
@@ -17,6 +18,7 @@
   | { readonly type: 'lost', readonly sent: boolean, readonly status: number | undefined, readonly message: string }
   /** Aborted by the caller or by the timeout. */
   | { readonly type: 'aborted', readonly sent: boolean, readonly status: number | undefined, readonly reason: unknown }
+/** Any outcome without a complete answer. */
 export type FailedOutcome = Exclude<ExchangeOutcome, { type: 'answered' }>
 
 /** Abort reason if the timeout of the exchange expires. */
--- a/packages/base/logger/src/bounded-lines.ts
+++ b/packages/base/logger/src/bounded-lines.ts
@@ -1,6 +1,7 @@
 /** Writes lines to a file descriptor without blocking on its reader; the buffer is bounded. */
 import * as fs from 'node:fs'
 
+/** Writes lines without blocking; see `createBoundedLineWriter`. */
 export interface BoundedLineWriter {
   /** Queues a line, or drops it if the buffer is full. */
   readonly write: (line: string) => void
--- a/packages/base/logger/src/logger.ts
+++ b/packages/base/logger/src/logger.ts
@@ -2,6 +2,7 @@
 import Bunyan from 'bunyan'
 import type * as types from '@eelgrasswind/types'
 
+/** Log levels of bunyan, from lowest to highest. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error' | 'fatal'
 
 /** Members of a record; `err` may be anything that was thrown. */
@@ -18,6 +19,7 @@
   readonly upstream?: types.UpstreamId
 }
 
+/** A structured logger; each method writes one record with fields and a message. */
 export interface Logger {
   trace: (fields: LogFields, message: string) => void
   debug: (fields: LogFields, message: string) => void
@@ -75,6 +77,7 @@
   }
 }
 
+/** Creates a logger that writes JSON lines with the name and the host. */
 export function createLogger (settings: LoggerSettings): Logger {
   const bunyan = Bunyan.createLogger({
     name: settings.name,
--- a/packages/base/metrics/src/metrics.ts
+++ b/packages/base/metrics/src/metrics.ts
@@ -2,6 +2,7 @@
 import { StatsD } from 'hot-shots'
 import type * as table from './metric-table.js'
 
+/** Sends values of the metrics in `metricTable`. */
 export interface Metrics {
   /** Adds to a counter; `by` defaults to 1. */
   increment: (name: table.CounterName, by?: number, tags?: table.MetricTags) => void
@@ -12,6 +13,7 @@
   close: () => Promise<void>
 }
 
+/** Receiver of the metrics, and what all values have in common. */
 export interface MetricsSettings {
   /** IP address of the receiver. */
   readonly host: string
@@ -24,6 +26,7 @@
 
 /** Fits an Ethernet frame, with the IP and UDP headers. */
 const maxPacketBytes = 1432
+/** Maximum time that values are buffered, in milliseconds. */
 const flushIntervalMs = 1000
 
 function createDisabledMetrics (): Metrics {
--- a/packages/base/parse-settings/src/describe-schema.ts
+++ b/packages/base/parse-settings/src/describe-schema.ts
@@ -2,6 +2,7 @@
 import type * as z from 'zod'
 import * as jsonSchema from './json-schema.js'
 
+/** One field of a schema, as a row of a reference table. */
 export interface SettingRow {
   /** Path of the field: `<id>` stands for any id, `[]` for each item of an array. */
   readonly field: string
--- a/packages/base/parse-settings/src/json-schema.ts
+++ b/packages/base/parse-settings/src/json-schema.ts
@@ -2,6 +2,7 @@
 import * as z from 'zod'
 import type * as settingsError from './settings-error.js'
 
+/** The keywords of JSON Schema that this package reads, and `unit` from `.meta`. */
 export interface JsonSchema {
   readonly type?: string | readonly string[]
   readonly description?: string
--- a/packages/base/parse-settings/src/settings-error.ts
+++ b/packages/base/parse-settings/src/settings-error.ts
@@ -3,6 +3,7 @@
 /** Path from the root of a document to a value: field names and array indexes. */
 export type FieldPath = readonly (string | number)[]
 
+/** Kind of a validation error. */
 export type FieldErrorKind = 'duplicateField' | 'unknownField' | 'missingField' | 'wrongValue'
 
 /** One validation error of a value, whether it comes from a file or not. */
--- a/packages/base/process-signals/src/process-signals.ts
+++ b/packages/base/process-signals/src/process-signals.ts
@@ -1,6 +1,7 @@
 /** Catches the signals of this process and calls the handlers of its program once it has started. */
 import * as states from './signal-state.js'
 
+/** What a program does on signals. */
 export interface SignalHandlers {
   /** Shut down gracefully. Called once, however many signals arrive. */
   readonly onShutdown: (signal: states.HandledSignal) => void
@@ -10,6 +11,7 @@
   readonly onIgnored: (signal: states.HandledSignal) => void
 }
 
+/** The signals of this process. */
 export interface ProcessSignals {
   /** Call once, when the program starts to serve; calls `onReload` if a reload was requested before. */
   readonly setHandlers: (handlers: SignalHandlers) => void
--- a/packages/base/process-signals/src/signal-state.ts
+++ b/packages/base/process-signals/src/signal-state.ts
@@ -3,12 +3,14 @@
 /** The signals that are handled: SIGTERM and SIGINT shut the process down, SIGHUP reloads its settings. */
 export type HandledSignal = 'SIGTERM' | 'SIGINT' | 'SIGHUP'
 
+/** State of the process. */
 export type SignalState =
   /** The process does not serve yet. */
   | { readonly type: 'starting', readonly isReloadRequested: boolean }
   | { readonly type: 'running' }
   | { readonly type: 'ending' }
 
+/** What to do after a signal or after the start. */
 export type SignalAction =
   | { readonly type: 'none' }
   /** Nothing is in flight: the process may exit at once. */
@@ -18,6 +20,7 @@
   /** The process is already shutting down; requests in flight still complete. */
   | { readonly type: 'ignore' }
 
+/** The next state, and the action to take. */
 export interface SignalStep {
   readonly state: SignalState
   readonly action: SignalAction
@@ -25,6 +28,7 @@
 
 export const initialState: SignalState = { type: 'starting', isReloadRequested: false }
 
+/** Returns the step that a signal causes. */
 export function onSignal (state: SignalState, signal: HandledSignal): SignalStep {
   switch (state.type) {
     case 'starting': return onSignalWhileStarting(state, signal)
--- a/packages/base/timer-service/src/manual-timers.ts
+++ b/packages/base/timer-service/src/manual-timers.ts
@@ -8,6 +8,7 @@
   isCancelled: boolean
 }
 
+/** A timer service whose time is moved by the test. */
 export interface ManualTimers extends timerService.TimerService {
   /** Advances the time by `ms` milliseconds and runs the timers that become due, in order of due time. */
   advance: (ms: number) => void
@@ -22,6 +23,7 @@
   await new Promise<void>((resolve) => { setImmediate(resolve) })
 }
 
+/** Creates manual timers that start at `startMs`; wall-clock and monotonic time are the same. */
 export function createManualTimers (startMs = 1_000_000): ManualTimers {
   let currentMs = startMs
   let nextOrder = 0
--- a/packages/base/timer-service/src/real-timers.ts
+++ b/packages/base/timer-service/src/real-timers.ts
@@ -1,6 +1,7 @@
 /** Timers of the runtime. Periodic timers do not keep the process alive. */
 import type * as timerService from './timer-service.js'
 
+/** Creates timers on the clock of the process. */
 export function createRealTimers (): timerService.TimerService {
   return {
     now: () => Date.now(),
--- a/packages/base/timer-service/src/timer-service.ts
+++ b/packages/base/timer-service/src/timer-service.ts
@@ -1,10 +1,12 @@
 /** Interface of clock and timers. All times are in milliseconds. */
 
+/** A running timer. */
 export interface Subscription {
   /** Stops the timer; safe to call twice. */
   cancel: () => void
 }
 
+/** Clock and timers of a process. */
 export interface TimerService {
   /** Wall-clock time, milliseconds since the epoch. May jump; use it only for times that processes compare. */
   now: () => number
--- a/packages/base/tracing/src/traceparent.ts
+++ b/packages/base/tracing/src/traceparent.ts
@@ -1,6 +1,7 @@
 /** The `traceparent` header of W3C Trace Context. */
 import * as crypto from 'node:crypto'
 
+/** Content of a `traceparent` header. */
 export interface TraceContext {
   /** 32 digits of lower-case hex. */
   readonly traceId: string
@@ -24,6 +25,7 @@
   return { traceId: traceId!, spanId: spanId!, sampled: (parseInt(flags!, 16) & sampledFlag) !== 0 }
 }
 
+/** Formats a context as a header of version 00. */
 export function formatTraceparent (context: TraceContext): string {
   return `00-${context.traceId}-${context.spanId}-${context.sampled ? '01' : '00'}`
 }
@@ -43,10 +45,12 @@
   return hex.startsWith('0') && /^0+$/.test(hex) ? createRandomHex(bytes) : hex
 }
 
+/** Creates a random trace id, 32 digits of hex. */
 export function createTraceId (): string {
   return createRandomHex(16)
 }
 
+/** Creates a random span id, 16 digits of hex. */
 export function createSpanId (): string {
   return createRandomHex(8)
 }
--- a/packages/base/tracing/src/tracing.ts
+++ b/packages/base/tracing/src/tracing.ts
@@ -2,6 +2,7 @@
 import type * as span from './span.js'
 import * as traceparents from './traceparent.js'
 
+/** Settings of tracing. */
 export interface TracingSettings {
   readonly serviceName: string
   /** OTLP endpoint over HTTP, such as `http://ip:port/v1/traces`; null disables export. */
--- a/packages/base/types/src/journal.ts
+++ b/packages/base/types/src/journal.ts
@@ -80,6 +80,7 @@
   readonly result: FinishResult
   readonly at: ids.EpochMs
 }
+/** How a program ended. */
 export type FinishResult = 'done' | 'cancelled' | 'budgetExceeded' | 'expired'
 
 /** The complete state of a program at this point of its journal, so that older records may expire. */
@@ -102,6 +103,7 @@
   readonly forfeited: program.Usage
 }
 
+/** Any record of a journal. */
 export type JournalRecord = BeginRecord | ClaimRecord | IntentRecord | AllowRecord | TurnRecord | SettleRecord | FinishRecord | SnapshotRecord
 
 /** Content of one append to a journal stream. */
--- a/packages/base/types/src/status.ts
+++ b/packages/base/types/src/status.ts
@@ -30,6 +30,7 @@
   readonly holds: number
 }
 
+/** State of a program as operators see it. */
 export type ProgramStateName = 'running' | 'finished'
 
 /** Status of one program, without its history. */
@@ -57,6 +58,7 @@
   readonly history: readonly program.Turn[] | null
 }
 
+/** Kind of a decision about a program or a call. */
 export type DecisionStep = 'admission' | 'order' | 'placement' | 'retry' | 'hold' | 'takeover'
 
 /** One decision and the reason for it. */
--- a/packages/programs/entry/src/caller-handlers.ts
+++ b/packages/programs/entry/src/caller-handlers.ts
@@ -9,10 +9,12 @@
 import * as clientTokens from './client-tokens.js'
 import type * as forwarding from './forward.js'
 
+/** Dependencies of the handlers. */
 export interface CallerHandlerDeps {
   readonly forwarder: forwarding.Forwarder
   readonly timers: timerService.TimerService
   readonly getConfig: () => configState.Config | undefined
+  /** Timeout for reaching the home of a program, in milliseconds; of a call at least this. */
   readonly homeTimeoutMs: number
   readonly tracer: tracing.Tracing
   readonly limits: Pick<clientLimits.ClientLimits, 'take'>
@@ -44,6 +46,7 @@
   }
 }
 
+/** Creates the handlers of callers' requests. */
 export function createCallerHandlers (deps: CallerHandlerDeps): callerServer.CallerHandlers {
   const tokens = new clientTokens.ClientTokens()
 
--- a/packages/programs/entry/src/client-limits.ts
+++ b/packages/programs/entry/src/client-limits.ts
@@ -6,6 +6,7 @@
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
+/** Dependencies of the limits. */
 export interface ClientLimitsDeps {
   readonly self: types.HostId
   readonly timers: timerService.TimerService
@@ -22,6 +23,7 @@
 /** Maximum number of renewals that one request waits for. */
 const maxRenewals = 2
 
+/** The shares of clients' limits that this entry holds. */
 export class ClientLimits {
   private readonly holders = new Map<LimitKey, limitClient.ShareHolder>()
   private readonly renewals = new Map<LimitKey, Promise<void>>()
--- a/packages/programs/entry/src/client-tokens.ts
+++ b/packages/programs/entry/src/client-tokens.ts
@@ -4,11 +4,13 @@
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 
+/** Retry-after time until the first configuration is loaded, in milliseconds. */
 const noConfigRetryMs = 1_000
 
 const noConfigFailure: errors.Failure = { tag: 'logUnavailable', verdict: 'notRun', message: 'this entry has no configuration yet', retryAfterMs: noConfigRetryMs }
 const unauthorizedFailure: errors.Failure = { tag: 'unauthorized', verdict: 'notRun', message: 'no client has this token; send it as Authorization: Bearer TOKEN' }
 
+/** Index of the clients' tokens in a configuration; valid tokens are cached. */
 export class ClientTokens {
   private indexedConfig: configState.Config | undefined
   private clientsByDigest = new Map<string, types.ClientId>()
--- a/packages/programs/entry/src/entry.ts
+++ b/packages/programs/entry/src/entry.ts
@@ -8,6 +8,7 @@
 import * as forwarding from './forward.js'
 import type * as settings from './settings.js'
 
+/** Starts an entry; resolves once it serves callers, which requires a configuration. */
 export async function startEntry (cfg: settings.EntrySettings): Promise<processBase.RunningProcess> {
   const base = await processBase.openProcessBase('eelgrasswind-entry', cfg)
   const { self, timers, logger, directory } = base
--- a/packages/programs/entry/src/forward.ts
+++ b/packages/programs/entry/src/forward.ts
@@ -9,6 +9,7 @@
 import type * as sidecarClient from '@eelgrasswind/sidecar-client'
 import type * as types from '@eelgrasswind/types'
 
+/** Dependencies of a forwarder. */
 export interface ForwardDeps {
   readonly timers: timerService.TimerService
   /** Returns the home of a program, followed by the hosts that would be its next home. */
@@ -25,16 +26,19 @@
 const answerGraceMs = 5_000
 /** Maximum number of remembered homes that are not the first choice. */
 const maxHomeHints = 10_000
+/** Retry-after time if no host is eligible as the home, in milliseconds. */
 const noHomeRetryMs = 1_000
 
 const noHomeFailure: errors.Failure = { tag: 'notHome', verdict: 'notRun', message: 'no live sidecar is eligible as the home', home: null, retryAfterMs: noHomeRetryMs }
 
+/** Finds the homes of programs, remembers them and retries requests. */
 export class Forwarder {
   private retryBudget = limitClient.createRetryBudget(limitClient.processRetrySettings)
   private readonly homeHints = new Map<types.ProgramId, types.HostId>()
 
   constructor (private readonly deps: ForwardDeps) {}
 
+  /** Sends a request to the home of a program, with retries until `deadline` in monotonic milliseconds. */
   async forward<T> (program: types.ProgramId, deadline: number, send: (peer: sidecarClient.PeerClient) => Promise<errors.Result<T>>): Promise<errors.Result<T>> {
     this.retryBudget = limitClient.earnRetry(this.retryBudget)
     let combinedVerdict: types.Verdict = 'notRun'
--- a/packages/programs/guard-upstream/src/dispatch-records.ts
+++ b/packages/programs/guard-upstream/src/dispatch-records.ts
@@ -10,6 +10,7 @@
 /** Time that a record is kept after its last change, in milliseconds; it limits the clock skew that does no harm. */
 export const recordRetentionMs = 15 * 60_000
 
+/** Answer or failure of a dispatch. */
 export type DispatchResult = errors.Result<types.DispatchAnswer>
 
 type RecordState =
@@ -32,13 +33,20 @@
   | { readonly type: 'join', readonly done: Promise<DispatchResult> }
   | { readonly type: 'refuse', readonly failure: errors.Failure }
 
+/** Records by program and key. */
 export interface DispatchRecords {
+  /** Decides whether a dispatch of an intent may run. */
   permit: (dispatch: types.Dispatch, intent: types.DispatchIntent) => Permission
+  /** Records a permitted dispatch that is queued. `cancel` removes it from the queue; `done` resolves with its result. */
   recordWaiting: (dispatch: types.Dispatch, intent: types.DispatchIntent, cancel: () => void, done: Promise<DispatchResult>) => void
+  /** Records that a queued dispatch has started. */
   recordRunning: (dispatch: types.Dispatch) => void
+  /** Records the result of a dispatch, unless its key is sealed. */
   recordEnded: (dispatch: types.Dispatch, result: DispatchResult) => void
+  /** Seals a key if its intent has not run; returns the state of the dispatch. */
   seal: (seal: types.Seal) => types.SealState
   readonly size: number
+  /** Deletes sealed and ended records that are older than `recordRetentionMs`. */
   deleteExpired: () => void
 }
 
@@ -60,6 +68,7 @@
   return { type: 'refuse', failure }
 }
 
+/** Creates empty records for an incarnation of this process; `now` is wall-clock time in milliseconds. */
 export function createDispatchRecords (incarnation: types.Incarnation, now: () => number): DispatchRecords {
   const records = new Map<string, DispatchRecord>()
 
--- a/packages/programs/guard-upstream/src/prefix-holds.ts
+++ b/packages/programs/guard-upstream/src/prefix-holds.ts
@@ -17,13 +17,17 @@
   readonly expiry: timerService.Subscription
 }
 
+/** Leases of one engine, by program. A request with an older term than that of the lease is ignored. */
 export interface PrefixHolds {
+  /** Pins the prefix of a program for `holdMs` milliseconds, at most `maxHoldMs`. */
   hold: (program: types.ProgramId, term: types.Term, holdMs: number) => Promise<errors.Result<void>>
+  /** Releases the prefix of a program. */
   drop: (program: types.ProgramId, term: types.Term) => Promise<errors.Result<void>>
   readonly size: number
   close: () => void
 }
 
+/** Dependencies of prefix holds. */
 export interface PrefixHoldsSettings {
   readonly engine: engineClient.EngineClient
   readonly timers: timerService.TimerService
@@ -31,6 +35,7 @@
   readonly onSwept: (released: number) => void
 }
 
+/** Creates the leases of an engine and starts the sweeps. */
 export function createPrefixHolds (settings: PrefixHoldsSettings): PrefixHolds {
   const { engine, timers } = settings
   const leases = new Map<types.ProgramId, Lease>()
@@ -53,8 +58,8 @@
   }
 
   async function drop (program: types.ProgramId, term: types.Term): Promise<errors.Result<void>> {
-    const known = leases.get(program)
-    if (known !== undefined && known.term > term) return { ok: true, value: undefined }
+    const currentLease = leases.get(program)
+    if (currentLease !== undefined && currentLease.term > term) return { ok: true, value: undefined }
     return await release(program)
   }
 
--- a/packages/programs/guard-upstream/src/send-dispatch.ts
+++ b/packages/programs/guard-upstream/src/send-dispatch.ts
@@ -33,7 +33,7 @@
   }, options)
   if (!answer.ok) return answer
   const { message, finishReason, tokens } = answer.value
-  return errors.ok({ outcome: { type: 'message', message, finishReason }, tokens, load: upstreamStates.getLoad(upstream, now()) })
+  return errors.ok({ outcome: { type: 'message', message, finishReason }, tokens, load: upstreamStates.toUpstreamLoad(upstream, now()) })
 }
 
 async function sendToService (upstream: upstreamStates.UpstreamState, req: types.Dispatch, payload: PayloadOfType<'service'>, options: engineClient.CallOptions): Promise<UntimedResult> {
--- a/packages/programs/guard-upstream/src/upstream-guard.ts
+++ b/packages/programs/guard-upstream/src/upstream-guard.ts
@@ -11,6 +11,7 @@
 import type * as prefixHolds from './prefix-holds.js'
 import * as dispatchSending from './send-dispatch.js'
 
+/** Dependencies of the guard. */
 export interface UpstreamGuardSettings {
   readonly self: types.ProcessRef
   readonly timers: timerService.TimerService
@@ -23,11 +24,13 @@
 const loadPollIntervalMs = 1_000
 /** Interval at which expired dispatch records are deleted, in milliseconds. */
 const expiryIntervalMs = 60_000
+/** Retry-after time for an unknown upstream, in milliseconds. */
 const unavailableRetryMs = 1_000
 
 type DispatchResult = dispatchRecords.DispatchResult
 type OnDelta = (text: string) => void
 
+/** The upstreams of this host with their queues, dispatch records and prefix holds. */
 export class UpstreamGuard {
   private readonly upstreams = new Map<types.UpstreamId, upstreamStates.UpstreamState>()
   private readonly records: dispatchRecords.DispatchRecords
@@ -73,6 +76,7 @@
     this.upstreams.delete(id)
   }
 
+  /** Runs a call on an upstream once it has a slot. The signal aborts an idempotent call only. */
   async dispatch (req: types.Dispatch, ctx: types.RequestContext, signal: AbortSignal, onDelta: OnDelta): Promise<DispatchResult> {
     const state = this.upstreams.get(req.upstream)
     if (state === undefined) return errors.fail(this.createUnknownUpstreamFailure(req.upstream))
@@ -120,14 +124,17 @@
     return result
   }
 
+  /** Seals the key of a non-idempotent call; see `DispatchRecords`. */
   async seal (req: types.Seal): Promise<errors.Result<types.SealState>> {
     return errors.ok(this.records.seal(req))
   }
 
+  /** Pins the prefix of a program in the cache of an engine. */
   async hold (program: types.ProgramId, term: types.Term, upstream: types.UpstreamId, holdMs: number): Promise<errors.Result<void>> {
     return await this.withHolds(upstream, (holds) => holds.hold(program, term, holdMs))
   }
 
+  /** Releases the prefix of a program. */
   async drop (program: types.ProgramId, term: types.Term, upstream: types.UpstreamId): Promise<errors.Result<void>> {
     return await this.withHolds(upstream, (holds) => holds.drop(program, term))
   }
@@ -147,20 +154,22 @@
   }
 
   getStatus (): readonly types.UpstreamStatus[] {
-    return [...this.upstreams.values()].map(upstreamStates.getStatus)
+    return [...this.upstreams.values()].map(upstreamStates.toUpstreamStatus)
   }
 
   getLoads (): readonly types.UpstreamLoad[] {
     const now = this.settings.timers.now()
-    return [...this.upstreams.values()].map((state) => upstreamStates.getLoad(state, now))
+    return [...this.upstreams.values()].map((state) => upstreamStates.toUpstreamLoad(state, now))
   }
 
+  /** Returns the number of running and queued calls. */
   countCallsInFlight (): number {
     let calls = 0
     for (const state of this.upstreams.values()) calls += state.slots.running + state.slots.waiting
     return calls
   }
 
+  /** Stops the timers and the leases; calls in flight continue. */
   close (): void {
     for (const subscription of this.subscriptions) subscription.cancel()
     for (const state of this.upstreams.values()) state.holds?.close()
--- a/packages/programs/guard-upstream/src/upstream-slots.ts
+++ b/packages/programs/guard-upstream/src/upstream-slots.ts
@@ -2,11 +2,13 @@
 import * as orderQueue from '@eelgrasswind/order-queue'
 import type * as types from '@eelgrasswind/types'
 
+/** A call in the queue. */
 export interface QueueEntry {
   /** Removes the call from the queue; returns false if it has started already. */
   cancel: () => boolean
 }
 
+/** Slots and queue of one upstream. */
 export interface UpstreamSlots {
   readonly running: number
   readonly waiting: number
@@ -14,11 +16,13 @@
   acquire: (program: types.ProgramId, input: types.QueueInput, start: () => void) => QueueEntry
   /** Frees the slot of a call that has ended. */
   release: () => void
+  /** Changes the number of slots; running calls are not affected. */
   resize: (slots: number) => void
   /** Orders the queued calls by another rule. */
   setRule: (rule: orderQueue.OrderRule) => void
 }
 
+/** Creates slots with an empty queue; `now` is wall-clock time in milliseconds. */
 export function createUpstreamSlots (slots: number, rule: orderQueue.OrderRule, now: () => number): UpstreamSlots {
   let queue = orderQueue.createOrderQueue<() => void>(rule)
   let maxRunning = slots
--- a/packages/programs/guard-upstream/src/upstream-state.ts
+++ b/packages/programs/guard-upstream/src/upstream-state.ts
@@ -12,6 +12,7 @@
   | { readonly type: 'engine', readonly upstream: types.UpstreamId, readonly slots: number, readonly client: engineClient.EngineClient }
   | { readonly type: 'service', readonly upstream: types.UpstreamId, readonly slots: number, readonly client: serviceClient.ServiceClient }
 
+/** State of an upstream; `holds` is null for a service. */
 export interface UpstreamState {
   readonly target: GuardedUpstream
   readonly slots: upstreamSlots.UpstreamSlots
@@ -20,6 +21,7 @@
   lastReportedLoad: types.UpstreamLoad | null
 }
 
+/** Creates the state of an upstream. `onSwept` gets the number of sessions that a sweep released. */
 export function createUpstreamState (target: GuardedUpstream, rule: orderQueue.OrderRule, timers: timerService.TimerService, onSwept: (upstream: types.UpstreamId, released: number) => void): UpstreamState {
   const holds = target.type === 'engine'
     ? prefixHolds.createPrefixHolds({ engine: target.client, timers, onSwept: (released) => onSwept(target.upstream, released) })
@@ -27,6 +29,7 @@
   return { target, slots: upstreamSlots.createUpstreamSlots(target.slots, rule, timers.now), holds, lastReportedLoad: null }
 }
 
+/** Reads the load of an engine; a failed read keeps the last one. */
 export async function refreshLoad (state: UpstreamState): Promise<void> {
   if (state.target.type !== 'engine') return
   const load = await state.target.client.getLoad()
@@ -34,7 +37,7 @@
 }
 
 /** Returns the load of an upstream. The counts of calls are those of this process and current; the cache is as last reported by the engine. */
-export function getLoad (state: UpstreamState, now: number): types.UpstreamLoad {
+export function toUpstreamLoad (state: UpstreamState, now: number): types.UpstreamLoad {
   return {
     upstream: state.target.upstream,
     running: state.slots.running,
@@ -45,7 +48,8 @@
   }
 }
 
-export function getStatus (state: UpstreamState): types.UpstreamStatus {
+/** Converts the state to the status that operators see. */
+export function toUpstreamStatus (state: UpstreamState): types.UpstreamStatus {
   return {
     upstream: state.target.upstream,
     type: state.target.type,
--- a/packages/programs/sidecar/src/own-upstreams.ts
+++ b/packages/programs/sidecar/src/own-upstreams.ts
@@ -12,11 +12,13 @@
   readonly guarded: guardUpstream.GuardedUpstream
 }
 
+/** Clients of the upstreams of this host. */
 export class OwnUpstreams {
   private openUpstreams = new Map<types.UpstreamId, OpenUpstream>()
 
   constructor (private readonly host: types.HostId, private readonly guard: guardUpstream.UpstreamGuard, private readonly cfg: settings.SidecarSettings) {}
 
+  /** Opens, closes and resizes upstreams; the client of an upstream whose address and type are unchanged is kept. */
   apply (config: configState.Config): void {
     const wanted = config.hosts.get(this.host)?.upstreams ?? []
     const nextUpstreams = new Map(wanted.map((upstream) => [upstream.id, this.keepOrOpen(upstream)]))
--- a/packages/programs/sidecar/src/ports.ts
+++ b/packages/programs/sidecar/src/ports.ts
@@ -5,6 +5,7 @@
 import type * as programHome from '@eelgrasswind/program-home'
 import type * as types from '@eelgrasswind/types'
 
+/** Creates the port for dispatches, seals and prefix holds. */
 export function createDispatchPort (self: types.HostId, guard: guardUpstream.UpstreamGuard, directory: processBase.HostDirectory): programHome.DispatchPort {
   return {
     dispatch: (host, dispatch, ctx, signal, onDelta) => host === self
@@ -20,6 +21,7 @@
   }
 }
 
+/** Creates the port for states and incarnations of hosts. */
 export function createHostsPort (self: types.HostId, directory: processBase.HostDirectory): programHome.HostsPort {
   return {
     stateOf: (host) => directory.stateOf(host),
--- a/packages/programs/sidecar/src/rules.ts
+++ b/packages/programs/sidecar/src/rules.ts
@@ -5,8 +5,11 @@
 import * as orderQueue from '@eelgrasswind/order-queue'
 import * as retainPrefix from '@eelgrasswind/retain-prefix'
 
+/** Queueing time after which a call takes precedence, in milliseconds. */
 const starvationMs = 60_000
+/** Duration of a prefix hold by the rule `fixed`, in milliseconds. */
 const fixedHoldMs = 10_000
+/** Queued calls per slot that the rule `queueBound` allows. */
 const maxWaitingPerSlot = 2
 
 export function toOrderRule (name: configState.QueueRule): orderQueue.OrderRule {
--- a/packages/programs/sidecar/src/share-lender.ts
+++ b/packages/programs/sidecar/src/share-lender.ts
@@ -11,6 +11,7 @@
 
 type LimitKey = `${types.ClientId}/${types.LimitName}`
 
+/** State of the limits that this process owns, by client and limit. */
 export class ShareLender implements sidecarClient.LimitHandlers {
   private readonly owners = new Map<LimitKey, limitClient.ShareOwner>()
   private readonly expiryTimer: timerService.Subscription
--- a/packages/programs/sidecar/src/sidecar.ts
+++ b/packages/programs/sidecar/src/sidecar.ts
@@ -16,6 +16,7 @@
 import * as sidecarMetrics from './sidecar-metrics.js'
 import * as upstreamDirectory from './upstream-directory.js'
 
+/** Starts a sidecar; resolves once it serves, which requires a configuration. */
 export async function startSidecar (cfg: settings.SidecarSettings): Promise<processBase.RunningProcess> {
   const base = await processBase.openProcessBase('eelgrasswind-sidecar', cfg)
   const { self, timers, logger, directory } = base
--- a/packages/programs/sidecar/src/upstream-directory.ts
+++ b/packages/programs/sidecar/src/upstream-directory.ts
@@ -23,6 +23,7 @@
   readonly cacheUtilization: number
 }
 
+/** Dependencies of the directory. */
 export interface UpstreamDirectoryDeps {
   readonly self: types.HostId
   readonly region: types.RegionId
@@ -34,6 +35,7 @@
 
 type TargetName = `model ${types.ModelId}` | `service ${types.ServiceId}`
 
+/** Upstreams of the region by target, with their last reported load and the calls that this process has in flight there. */
 export class UpstreamDirectory implements programHome.UpstreamsPort {
   private readonly inFlight = new Map<types.UpstreamId, number>()
   private readonly loads = new Map<types.UpstreamId, LastLoad>()
