--- a/packages/base/parse-settings/src/describe-schema.ts
+++ b/packages/base/parse-settings/src/describe-schema.ts
@@ -7,7 +7,7 @@
   /** Path of the field: `<id>` stands for any id, `[]` for each item of an array. */
   readonly field: string
   readonly type: string
-  /** Unit of the value; empty where it has none. */
+  /** Unit of the value; empty if it has none. */
   readonly unit: string
   /** Default as JSON; empty if the field is required, `optional` if it may be omitted and has no default. */
   readonly default: string
--- a/packages/base/types/src/journal.ts
+++ b/packages/base/types/src/journal.ts
@@ -115,7 +115,7 @@
 /** Maximum number of records in a batch; limits the index part of a position. */
 export const maxBatchRecords = 4096
 
-/** Combines the log offset of a batch and the index of a record in it to the position of the record in its stream, from 1. */
+/** Combines the log offset of a batch and the index of a record in it into the position of the record in its stream, from 1. */
 export function toPosition (offset: ids.LogOffset, index: number): ids.Term {
   return (offset * maxBatchRecords + index + 1) as ids.Term
 }
--- a/packages/programs/entry/src/client-limits.ts
+++ b/packages/programs/entry/src/client-limits.ts
@@ -19,6 +19,7 @@
 
 /** Idle time after which a holder is removed once there are too many, in milliseconds. */
 const maxIdleMs = 60_000
+/** Number of holders above which idle ones are removed. */
 const cleanupThreshold = 10_000
 /** Maximum number of renewals that one request waits for. */
 const maxRenewals = 2
--- a/packages/programs/entry/src/forward.test.ts
+++ b/packages/programs/entry/src/forward.test.ts
@@ -14,7 +14,7 @@
   return { tag: 'notHome', verdict: 'notRun', message: `${home} is its home`, home, retryAfterMs: 500 }
 }
 
-/** Creates a forwarder to hosts whose answers a function of host and time in milliseconds gives. */
+/** Creates a forwarder to hosts whose answers are computed by `getAnswer` from the host and the time in milliseconds. */
 function createFixture (getAnswer: (host: types.HostId, at: number) => errors.Result<string>) {
   const timers = timerService.createManualTimers()
   const startedAt = timers.monotonic()
--- a/packages/programs/entry/src/forward.ts
+++ b/packages/programs/entry/src/forward.ts
@@ -20,7 +20,7 @@
 }
 
 const retrySettings: decideRetry.RetrySettings = { maxAttempts: 10, firstWaitMs: 50, maxWaitMs: 500 }
-/** Number of first attempts after which the next host is tried without a backoff. */
+/** Maximum number of attempts that are followed by the next host without a backoff. */
 const maxImmediateRetries = 3
 /** Grace period after the deadline, in milliseconds. A home answers by its own timeout; a request without an answer after this has failed. */
 const answerGraceMs = 5_000
--- a/packages/programs/sidecar/src/upstream-directory.ts
+++ b/packages/programs/sidecar/src/upstream-directory.ts
@@ -7,7 +7,7 @@
 import type * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 
-/** Maximum number of candidates of one placement; of more upstreams a sample is taken. */
+/** Maximum number of candidates of one placement; if there are more upstreams, a sample is taken. */
 const maxCandidates = 16
 
 interface KnownUpstream {
