--- a/packages/programs/program-home/src/allowance.ts
+++ b/packages/programs/program-home/src/allowance.ts
@@ -1,60 +1,61 @@
 /**
- * Allowances: what a home may use on idempotent calls before their records are written. It is in the journal before
- * it is used, and a later home counts it as spent, so that a program's budget holds across any number of takeovers.
+ * Computes allowances: the usage that a home may spend on idempotent calls before their turns are recorded. An
+ * allowance is in the journal before it is used, and the next home counts it as spent after a takeover, so that the
+ * program's budget holds across any number of takeovers.
  */
 import type * as configState from '@eelgrasswind/config-state'
 import * as programState from '@eelgrasswind/program-state'
 import type * as types from '@eelgrasswind/types'
 import * as local from './local-program.js'
 
-/** Prompt tokens that a call is taken to have where nothing else is known; a longer one costs an append more. */
-const usualPromptTokens = 2_000
-/** Calls that fit in an allowance, so that the next call needs no append before it. */
-const callsAhead = 2
-/** Part of what is left of a budget that an allowance for calls to come may take: one in so many. */
-const mostPart = 8
+/** Assumed prompt length of a future call, in tokens. A longer prompt costs one more append. */
+const typicalPromptTokens = 2_000
+/** Number of calls that one allowance covers, so that the next call needs no append before it. */
+const callsPerAllowance = 2
+/** An allowance for future calls takes at most the remaining budget divided by this. */
+const budgetDivisor = 8
 
-/** For the record that begins a program. */
-export function firstAllowance (cfg: configState.Config, start: types.ProgramStart): types.Usage {
-  return least(usualAhead(cfg, start), partOf(start.budget))
+/** Computes the allowance in the begin record of a program. */
+export function computeFirstAllowance (cfg: configState.Config, start: types.ProgramStart): types.Usage {
+  return computeMinUsage(computeTypicalAllowance(cfg, start), computeFraction(start.budget))
 }
 
-/** Whether what runs without a record, the call about to be sent included, is covered. */
+/** Whether the allowance covers all unrecorded usage, including the call about to be sent. */
 export function isCovered (program: local.LocalProgram): boolean {
   const { allowance } = program.state
-  const open = local.addUsage(program.reserved, program.unrecorded)
-  return open.tokens <= allowance.tokens && open.calls <= allowance.calls && open.microCost <= allowance.microCost
+  const openUsage = local.addUsage(program.reserved, program.unrecordedUsage)
+  return openUsage.tokens <= allowance.tokens && openUsage.calls <= allowance.calls && openUsage.microCost <= allowance.microCost
 }
 
-/** What covers all that runs without a record, `ending` apart, and calls to come. */
-export function nextAllowance (cfg: configState.Config, program: local.LocalProgram, need: types.Usage, ending: types.Usage = local.noUsage): types.Usage {
-  const open = local.lessUsage(local.addUsage(program.reserved, program.unrecorded), ending)
-  const left = local.lessUsage(local.lessUsage(program.state.start.budget, programState.computeSpent(program.state)), open)
-  const likeLast = { tokens: callsAhead * need.tokens, calls: callsAhead * need.calls, microCost: callsAhead * need.microCost }
-  return local.addUsage(open, least(most(likeLast, usualAhead(cfg, program.state.start)), partOf(left)))
+/** Computes an allowance for all unrecorded usage but `endingUsage`, and for the calls after it. */
+export function computeNextAllowance (cfg: configState.Config, program: local.LocalProgram, callUsage: types.Usage, endingUsage: types.Usage = local.zeroUsage): types.Usage {
+  const openUsage = local.subtractUsage(local.addUsage(program.reserved, program.unrecordedUsage), endingUsage)
+  const remaining = local.subtractUsage(local.subtractUsage(program.state.start.budget, programState.computeSpent(program.state)), openUsage)
+  const likeNeed = { tokens: callsPerAllowance * callUsage.tokens, calls: callsPerAllowance * callUsage.calls, microCost: callsPerAllowance * callUsage.microCost }
+  return local.addUsage(openUsage, computeMinUsage(computeMaxUsage(likeNeed, computeTypicalAllowance(cfg, program.state.start)), computeFraction(remaining)))
 }
 
-/** What a few calls with prompts of ordinary length may need. */
-function usualAhead (cfg: configState.Config, start: types.ProgramStart): types.Usage {
+/** Usage of `callsPerAllowance` calls with typical prompts and the kind's maximum answer, at the highest token price. */
+function computeTypicalAllowance (cfg: configState.Config, start: types.ProgramStart): types.Usage {
   const maxTokens = cfg.kinds.get(start.kind)?.maxTokens ?? 0
-  const tokens = callsAhead * (maxTokens + usualPromptTokens)
+  const tokens = callsPerAllowance * (maxTokens + typicalPromptTokens)
   const highestPrice = Math.max(0, ...[...cfg.models.values()].map((model) => Math.max(model.microCostPerPromptToken, model.microCostPerGeneratedToken)))
-  return { tokens, calls: callsAhead, microCost: Math.ceil(tokens * highestPrice) }
+  return { tokens, calls: callsPerAllowance, microCost: Math.ceil(tokens * highestPrice) }
 }
 
-/** A takeover may cost a program no more than this part of what it has left, besides what was under way. */
-function partOf (left: types.Usage): types.Usage {
+/** Bounds what a takeover costs a program: besides the calls in flight, no more than this part of its remaining budget. */
+function computeFraction (remaining: types.Usage): types.Usage {
   return {
-    tokens: Math.floor(Math.max(0, left.tokens) / mostPart),
-    calls: Math.floor(Math.max(0, left.calls) / mostPart),
-    microCost: Math.floor(Math.max(0, left.microCost) / mostPart)
+    tokens: Math.floor(Math.max(0, remaining.tokens) / budgetDivisor),
+    calls: Math.floor(Math.max(0, remaining.calls) / budgetDivisor),
+    microCost: Math.floor(Math.max(0, remaining.microCost) / budgetDivisor)
   }
 }
 
-function least (a: types.Usage, b: types.Usage): types.Usage {
+function computeMinUsage (a: types.Usage, b: types.Usage): types.Usage {
   return { tokens: Math.min(a.tokens, b.tokens), calls: Math.min(a.calls, b.calls), microCost: Math.min(a.microCost, b.microCost) }
 }
 
-function most (a: types.Usage, b: types.Usage): types.Usage {
+function computeMaxUsage (a: types.Usage, b: types.Usage): types.Usage {
   return { tokens: Math.max(a.tokens, b.tokens), calls: Math.max(a.calls, b.calls), microCost: Math.max(a.microCost, b.microCost) }
 }
--- a/packages/programs/program-home/src/attempt.ts
+++ b/packages/programs/program-home/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One call on its way through a home, and how an attempt at it ends. */
+/** A call in progress at its home, and the outcome of one attempt to run it. */
 import type * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 import type * as local from './local-program.js'
@@ -7,16 +7,16 @@
 
 export interface Attempt {
   readonly program: local.LocalProgram
-  readonly running: runningCalls.RunningCall
-  readonly need: reserve.CallNeed
+  readonly runningCall: runningCalls.RunningCall
+  readonly estimate: reserve.CallEstimate
   readonly ctx: types.RequestContext
-  /** On the monotonic clock, as the deadline. */
+  /** Time on the monotonic clock in milliseconds, like `deadline`. */
   readonly startedAt: number
   readonly deadline: number
 }
 
-/** How an attempt ended: with an answer, with a failure that stands in the history, or with one that does not. */
-export type AttemptEnd =
+/** Outcome of an attempt: an answer, a failure to be recorded in the history, or a failure that is not recorded. */
+export type AttemptOutcome =
   | { readonly type: 'answered', readonly answer: types.DispatchAnswer, readonly upstream: types.UpstreamId, readonly host: types.HostId, readonly startedAt: types.EpochMs }
   | { readonly type: 'recordFailure', readonly outcome: Extract<types.CallOutcome, { type: 'failed' }>, readonly upstream: types.UpstreamId, readonly startedAt: types.EpochMs }
-  | { readonly type: 'failed', readonly failure: errors.Failure, readonly decided: 'mayRetry' | 'final' }
+  | { readonly type: 'failed', readonly failure: errors.Failure, readonly retry: 'mayRetry' | 'final' }
--- a/packages/programs/program-home/src/check-call.ts
+++ b/packages/programs/program-home/src/check-call.ts
@@ -1,4 +1,4 @@
-/** Whether a call may run now, or is answered by what already is. */
+/** Decides whether a call may run now, repeats an earlier call, or is refused. */
 import type * as errors from '@eelgrasswind/errors'
 import * as programState from '@eelgrasswind/program-state'
 import type * as types from '@eelgrasswind/types'
@@ -7,54 +7,56 @@
 
 export type CallCheck =
   | { readonly type: 'run' }
-  /** Asked before and finished. */
+  /** A repeat of a finished call. */
   | { readonly type: 'finished', readonly turn: types.Turn }
-  /** Asked before and still under way. */
-  | { readonly type: 'join', readonly running: runningCalls.RunningCall }
-  /** Asked before at an earlier home; what became of it is being found out. */
+  /** A repeat of a call in flight. */
+  | { readonly type: 'join', readonly runningCall: runningCalls.RunningCall }
+  /** A repeat of a call that an earlier home dispatched; its outcome is not known yet. */
   | { readonly type: 'openIntent' }
   | { readonly type: 'refuse', readonly failure: errors.Failure }
 
-const inProgressRetryMs = 500
+const retryAfterMs = 500
 
 export function checkCall (program: local.LocalProgram, call: types.Call, digest: string): CallCheck {
   const { state } = program
   if (state.start.client !== call.client) return refuse({ tag: 'unknownProgram', verdict: 'notRun', message: `client ${call.client} has no program ${call.program}` })
   const turn = programState.findTurn(state, call.key)
-  if (turn !== undefined) return turn.digest === digest ? { type: 'finished', turn } : refuse(keyReused(call))
-  const running = program.running.get(call.key)
-  if (running !== undefined) return running.digest === digest ? { type: 'join', running } : refuse(keyReused(call))
+  if (turn !== undefined) return turn.digest === digest ? { type: 'finished', turn } : refuse(createKeyReusedFailure(call))
+  const runningCall = program.runningCalls.get(call.key)
+  if (runningCall !== undefined) return runningCall.digest === digest ? { type: 'join', runningCall } : refuse(createKeyReusedFailure(call))
   const intent = programState.findIntent(state, call.key)
-  if (intent !== undefined) return intent.digest === digest ? { type: 'openIntent' } : refuse(keyReused(call))
-  return checkNew(program, call)
+  if (intent !== undefined) return intent.digest === digest ? { type: 'openIntent' } : refuse(createKeyReusedFailure(call))
+  return checkNewCall(program, call)
 }
 
-function checkNew (program: local.LocalProgram, call: types.Call): CallCheck {
+function checkNewCall (program: local.LocalProgram, call: types.Call): CallCheck {
   const { finished } = program.state
-  if (finished !== null) return refuse({ tag: 'programFinished', verdict: 'notRun', message: `the program has ended: ${finished}`, result: finished })
-  if (program.releasing) return refuse({ tag: 'notHome', verdict: 'notRun', message: 'the program is moving to another home', home: null, retryAfterMs: inProgressRetryMs })
+  if (finished !== null) return refuse({ tag: 'programFinished', verdict: 'notRun', message: `the program has finished: ${finished}`, result: finished })
+  if (program.isReleasing) return refuse({ tag: 'notHome', verdict: 'notRun', message: 'the program is moving to another home', home: null, retryAfterMs })
   const expectedSeq = programState.getNextSeq(program.state, call.branch)
-  const underWay = callUnderWay(program, call.branch)
-  // An open intent counts as a place that is used, also while its end is being found out: the next place belongs to nobody.
-  if (underWay !== undefined && underWay.seq < call.seq) return refuse(sequenceGap(call, underWay.seq))
-  if (call.seq > expectedSeq) return refuse(sequenceGap(call, expectedSeq))
-  if (call.seq < expectedSeq || underWay !== undefined) {
-    return refuse({ tag: 'sequenceRepeat', verdict: 'notRun', message: `place ${call.seq} of branch ${call.branch} belongs to another call`, expectedSeq })
+  const unfinishedCall = findUnfinishedCall(program, call.branch)
+  // An open intent uses its sequence number, even while its outcome is being resolved. The next number is unused, so a
+  // call with a higher one gets sequenceGap, not sequenceRepeat.
+  if (unfinishedCall !== undefined && unfinishedCall.seq < call.seq) return refuse(createSequenceGapFailure(call, unfinishedCall.seq))
+  if (call.seq > expectedSeq) return refuse(createSequenceGapFailure(call, expectedSeq))
+  if (call.seq < expectedSeq || unfinishedCall !== undefined) {
+    return refuse({ tag: 'sequenceRepeat', verdict: 'notRun', message: `sequence number ${call.seq} of branch ${call.branch} belongs to another call`, expectedSeq })
   }
   return { type: 'run' }
 }
 
-/** An earlier call of the branch is missing, or has not ended. */
-function sequenceGap (call: types.Call, expectedSeq: number): errors.Failure {
-  return { tag: 'sequenceGap', verdict: 'notRun', message: `branch ${call.branch} expects ${expectedSeq}`, expectedSeq }
+/** Failure for a call while an earlier call of its branch is missing or has not ended. */
+function createSequenceGapFailure (call: types.Call, expectedSeq: number): errors.Failure {
+  return { tag: 'sequenceGap', verdict: 'notRun', message: `branch ${call.branch} expects sequence number ${expectedSeq}`, expectedSeq }
 }
 
 /**
- * The call of the branch that is under way. One that stands in the history has its answer: its caller may have it
- * from there and send the next call while this process still waits to hear that the record is stored.
+ * Returns the call of the branch that is in flight. A call whose turn is already in the history doesn't count: its
+ * caller may have read the answer there and send the next call while this process still waits for the append to be
+ * acknowledged.
  */
-function callUnderWay (program: local.LocalProgram, branch: types.BranchId): types.Call | undefined {
-  for (const { call: other } of program.running.values()) {
+function findUnfinishedCall (program: local.LocalProgram, branch: types.BranchId): types.Call | undefined {
+  for (const { call: other } of program.runningCalls.values()) {
     if (other.branch === branch && programState.findTurn(program.state, other.key) === undefined) return other
   }
   return undefined
@@ -64,12 +66,12 @@
   return { type: 'refuse', failure }
 }
 
-function keyReused (call: types.Call): errors.Failure {
-  return { tag: 'keyReused', verdict: 'notRun', message: `key ${call.key} was used for another request` }
+function createKeyReusedFailure (call: types.Call): errors.Failure {
+  return { tag: 'keyReused', verdict: 'notRun', message: `request key ${call.key} was already used for a different request` }
 }
 
-/** The end of a call that stands in the history. */
-export function endOfTurn (turn: types.Turn, repeated: boolean): types.CallEnd {
+/** Builds the result of a call from its recorded turn. */
+export function toCallEnd (turn: types.Turn, repeated: boolean): types.CallEnd {
   const { key, branch, seq, outcome, tokens, usage, upstream } = turn
   return { key, branch, seq, outcome, tokens, usage, upstream, repeated }
 }
--- a/packages/programs/program-home/src/home-metrics.ts
+++ b/packages/programs/program-home/src/home-metrics.ts
@@ -1,4 +1,4 @@
-/** What a home counts of its programs and calls. */
+/** Sends the metrics of the programs and calls at home in this process. */
 import type * as admitProgram from '@eelgrasswind/admit-program'
 import type * as errors from '@eelgrasswind/errors'
 import type * as metrics from '@eelgrasswind/metrics'
@@ -7,49 +7,49 @@
 import type * as runningCalls from './running-call.js'
 
 export class HomeMetrics {
-  constructor (private readonly sent: metrics.Metrics, private readonly now: () => number) {}
+  constructor (private readonly metrics: metrics.Metrics, private readonly now: () => number) {}
 
-  programStarted (): void {
-    this.sent.increment('program.started')
+  onProgramStarted (): void {
+    this.metrics.increment('program.started')
   }
 
-  programRefused (reason: admitProgram.AdmissionReason): void {
-    this.sent.increment('program.refused', 1, { reason: reason.type })
+  onProgramRefused (reason: admitProgram.AdmissionReason): void {
+    this.metrics.increment('program.refused', 1, { reason: reason.type })
   }
 
-  programTakenOver (): void {
-    this.sent.increment('program.takeover')
+  onProgramTakenOver (): void {
+    this.metrics.increment('program.takeover')
   }
 
-  programFinished ({ start, at }: programState.ProgramState, result: types.FinishResult): void {
+  onProgramFinished ({ start, at }: programState.ProgramState, result: types.FinishResult): void {
     const { kind, deadline } = start
     const now = this.now()
-    this.sent.increment('program.finished', 1, { kind, result })
-    this.sent.timing('program.latency', now - at, { kind })
-    const inTime = result === 'done' && now <= deadline
-    this.sent.increment(inTime ? 'program.in_time' : 'program.late', 1, { kind })
+    this.metrics.increment('program.finished', 1, { kind, result })
+    this.metrics.timing('program.latency', now - at, { kind })
+    const isInTime = result === 'done' && now <= deadline
+    this.metrics.increment(isInTime ? 'program.in_time' : 'program.late', 1, { kind })
   }
 
-  callRepeated (): void {
-    this.sent.increment('call.repeated')
+  onCallRepeated (): void {
+    this.metrics.increment('call.repeated')
   }
 
-  callRetried (failure: errors.Failure): void {
-    this.sent.increment('call.retried', 1, { reason: failure.tag })
+  onCallRetried (failure: errors.Failure): void {
+    this.metrics.increment('call.retried', 1, { reason: failure.tag })
   }
 
-  callRefusedByBudget (): void {
-    this.sent.increment('budget.refused')
+  onCallRefusedByBudget (): void {
+    this.metrics.increment('budget.refused')
   }
 
-  firstToken (afterMs: number): void {
-    this.sent.timing('call.first_token', afterMs)
+  onFirstToken (elapsedMs: number): void {
+    this.metrics.timing('call.first_token', elapsedMs)
   }
 
-  callEnded (target: types.CallTarget['type'], result: runningCalls.CallResult, tookMs: number): void {
-    this.sent.increment('call.finished', 1, { target, result: result.ok ? result.value.outcome.type : 'failed' })
-    this.sent.timing('call.latency', tookMs, { target })
-    if (result.ok) this.sent.increment('cache.reused_tokens', result.value.tokens.cached)
-    else this.sent.increment('call.failed', 1, { reason: result.failure.tag, verdict: result.failure.verdict })
+  onCallEnded (target: types.CallTarget['type'], result: runningCalls.CallResult, durationMs: number): void {
+    this.metrics.increment('call.finished', 1, { target, result: result.ok ? result.value.outcome.type : 'failed' })
+    this.metrics.timing('call.latency', durationMs, { target })
+    if (result.ok) this.metrics.increment('cache.reused_tokens', result.value.tokens.cached)
+    else this.metrics.increment('call.failed', 1, { reason: result.failure.tag, verdict: result.failure.verdict })
   }
 }
--- a/packages/programs/program-home/src/journal-writer.test.ts
+++ b/packages/programs/program-home/src/journal-writer.test.ts
@@ -7,7 +7,7 @@
 const program = 'p1' as types.ProgramId
 const target: types.CallTarget = { type: 'service', service: 'kit' as types.ServiceId, path: '/print', body: '' }
 
-const intent: journalWriter.UnplacedRecord = {
+const intent: journalWriter.UnsequencedRecord = {
   type: 'intent',
   key: 'k1' as types.RequestKey,
   branch: testJournal.mainBranch,
@@ -20,39 +20,40 @@
   at: 3 as types.EpochMs
 }
 
-async function settled<T> (timers: timerService.ManualTimers, promise: Promise<T>): Promise<T> {
+async function advanceUntilSettled<T> (timers: timerService.ManualTimers, promise: Promise<T>): Promise<T> {
   for (let count = 0; count < 100; count += 1) await timers.advanceAsync(100)
   return await promise
 }
 
-// Guards against "the intent record had no effect": the copy that landed unnoticed was taken for another record.
-tap.test('a record whose copy landed unnoticed is recognized when it is written again', async (t) => {
+// Guards against the failure "the intent record had no effect": a first copy that was stored but not acknowledged was
+// mistaken for another record.
+tap.test('a record that was stored without an acknowledgement is recognized when it is appended again', async (t) => {
   const timers = timerService.createManualTimers()
   const world = new testJournal.TestJournal(program)
   world.outcomes = ['lost', 'late']
-  t.match(await settled(timers, journalWriter.writeUntilKnown({ journal: world.journal, timers }, world.program, intent)), { ok: true, value: 11 })
+  t.match(await advanceUntilSettled(timers, journalWriter.appendUntilResolved({ journal: world.journal, timers }, world.program, intent)), { ok: true, value: 11 })
   t.equal(world.program.state.n, 2)
   t.equal(world.appended.length, 3)
 })
 
-tap.test('a record that lands between two attempts is recognized', async (t) => {
+tap.test('a record that is stored between two append attempts is recognized', async (t) => {
   const timers = timerService.createManualTimers()
   const world = new testJournal.TestJournal(program)
   world.outcomes = ['late']
-  const written = journalWriter.writeUntilKnown({ journal: world.journal, timers }, world.program, intent)
+  const written = journalWriter.appendUntilResolved({ journal: world.journal, timers }, world.program, intent)
   await timers.advanceAsync(10)
   world.land(world.appended[0]!)
-  t.match(await settled(timers, written), { ok: true, value: 11 })
+  t.match(await advanceUntilSettled(timers, written), { ok: true, value: 11 })
   t.equal(world.program.state.n, 2)
 })
 
-tap.test('a record that did not land takes the next place that is free', async (t) => {
+tap.test('a record that was not stored is appended at the next free chain position', async (t) => {
   const timers = timerService.createManualTimers()
   const world = new testJournal.TestJournal(program)
   world.outcomes = ['refused']
-  const written = journalWriter.writeUntilKnown({ journal: world.journal, timers }, world.program, intent)
+  const written = journalWriter.appendUntilResolved({ journal: world.journal, timers }, world.program, intent)
   await timers.advanceAsync(10)
-  t.match(await journalWriter.writeRecord(world.journal, world.program, { type: 'allow', allowance: { tokens: 1, calls: 1, microCost: 1 } }), { ok: true })
-  t.match(await settled(timers, written), { ok: true, value: 12 })
+  t.match(await journalWriter.appendRecord(world.journal, world.program, { type: 'allow', allowance: { tokens: 1, calls: 1, microCost: 1 } }), { ok: true })
+  t.match(await advanceUntilSettled(timers, written), { ok: true, value: 12 })
   t.equal(world.program.state.intents.size, 1)
 })
--- a/packages/programs/program-home/src/journal-writer.ts
+++ b/packages/programs/program-home/src/journal-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the records of local programs: each names its place in the program's chain and its term. */
+/** Appends the records of local programs. Each record carries its position `n` in the program's chain and the term. */
 import type * as appendJournal from '@eelgrasswind/append-journal'
 import * as errors from '@eelgrasswind/errors'
 import type * as programState from '@eelgrasswind/program-state'
@@ -7,93 +7,94 @@
 import * as failures from './home-failures.js'
 import type * as local from './local-program.js'
 
-/** A record without the members that place it in its program's chain. */
-export type UnplacedRecord = types.JournalRecord extends infer R
+/** A record without the fields that position it in its program's chain. */
+export type UnsequencedRecord = types.JournalRecord extends infer R
   ? R extends types.JournalRecord ? Omit<R, 'program' | 'n' | 'term'> : never
   : never
 
-/** Says that the home moved away while the record was on its way. */
-function superseded (program: types.ProgramId): errors.Failure {
-  return { tag: 'notHome', verdict: 'mayHaveRun', message: `another process became the home of ${program}`, home: null, retryAfterMs: failures.logRetryMs }
+/** Failure for a record that took no effect, as another process became the home before it was stored. */
+function createSupersededFailure (program: types.ProgramId): errors.Failure {
+  return { tag: 'notHome', verdict: 'mayHaveRun', message: `another process became the home of ${program}`, home: null, retryAfterMs: failures.logRetryAfterMs }
 }
 
-function refusedContent (record: types.JournalRecord, reason: programState.VoidReason): errors.Failure {
+function createVoidRecordFailure (record: types.JournalRecord, reason: programState.VoidReason): errors.Failure {
   return { tag: 'internal', verdict: 'mayHaveRun', message: `the ${record.type} record had no effect: ${reason}` }
 }
 
-/** Content of a record; a function makes it when the turn of the record comes. */
-export type RecordContent = UnplacedRecord | (() => UnplacedRecord)
+/** A record to append. A function is called once all earlier appends of the program are done, and sees their effect. */
+export type RecordSource = UnsequencedRecord | (() => UnsequencedRecord)
 
-/** What it takes to find out the fate of a record. */
+/** Dependencies of appends that are retried. */
 export interface WriterDeps {
   readonly journal: appendJournal.Journal
   readonly timers: timerService.TimerService
 }
 
-/** A record at its place, and what became of its append: the position once it is confirmed and has taken effect. */
-export interface Written {
+/** An appended record and its result: the log position once the record is confirmed and has taken effect. */
+export interface AppendOutcome {
   readonly record: types.JournalRecord
   readonly result: errors.Result<types.Term>
 }
 
-/** Appends a record at the next place of the program's chain. */
-export async function writePlaced (journal: appendJournal.Journal, program: local.LocalProgram, content: RecordContent): Promise<Written> {
-  return await program.inOrder(async () => {
+/** Appends a record at the next position of the program's chain, once. */
+export async function appendNext (journal: appendJournal.Journal, program: local.LocalProgram, content: RecordSource): Promise<AppendOutcome> {
+  return await program.runInOrder(async () => {
     const { state } = program
-    const unplaced = typeof content === 'function' ? content() : content
-    const record = { ...unplaced, program: program.id, n: state.n + 1, term: state.term } as types.JournalRecord
-    return { record, result: await appendPlaced(journal, record) }
+    const unsequenced = typeof content === 'function' ? content() : content
+    const record = { ...unsequenced, program: program.id, n: state.n + 1, term: state.term } as types.JournalRecord
+    return { record, result: await appendAndCheck(journal, record) }
   })
 }
 
-/** As writePlaced, for writers that don't ask again; the position of the record. */
-export async function writeRecord (journal: appendJournal.Journal, program: local.LocalProgram, content: RecordContent): Promise<errors.Result<types.Term>> {
-  return (await writePlaced(journal, program, content)).result
+/** Like `appendNext`, but returns only the log position. */
+export async function appendRecord (journal: appendJournal.Journal, program: local.LocalProgram, content: RecordSource): Promise<errors.Result<types.Term>> {
+  return (await appendNext(journal, program, content)).result
 }
 
-/** Writes a record until its fate is known. */
-export async function writeUntilKnown (deps: WriterDeps, program: local.LocalProgram, content: RecordContent): Promise<errors.Result<types.Term>> {
+/** Appends a record, and retries while the log is unavailable, until it is known whether the record took effect. */
+export async function appendUntilResolved (deps: WriterDeps, program: local.LocalProgram, content: RecordSource): Promise<errors.Result<types.Term>> {
   for (;;) {
-    const { record, result } = await writePlaced(deps.journal, program, content)
-    const known = isUnknown(result) ? await settleRecord(deps, program, record) : result
-    if (known.ok || known.failure.tag !== 'logUnavailable') return known
-    await timerService.sleep(deps.timers, failures.logRetryMs)
+    const { record, result } = await appendNext(deps.journal, program, content)
+    const resolved = isOutcomeUnknown(result) ? await resolveRecord(deps, program, record) : result
+    if (resolved.ok || resolved.failure.tag !== 'logUnavailable') return resolved
+    await timerService.sleep(deps.timers, failures.logRetryAfterMs)
   }
 }
 
 /**
- * Finds out the fate of a record that may be in the log. It keeps its place: at the next one it would be another
- * record, and void where the first copy has taken effect.
+ * Appends a record that may already be in the log again, until its outcome is known. It keeps its chain position: at the
+ * next position it would be a different record, and void if the first copy took effect.
  */
-export async function settleRecord ({ journal, timers }: WriterDeps, program: local.LocalProgram, record: types.JournalRecord): Promise<errors.Result<types.Term>> {
+export async function resolveRecord ({ journal, timers }: WriterDeps, program: local.LocalProgram, record: types.JournalRecord): Promise<errors.Result<types.Term>> {
   for (;;) {
-    await timerService.sleep(timers, failures.logRetryMs)
-    const result = await program.inOrder(() => appendPlaced(journal, record))
-    if (!isUnknown(result)) return result
+    await timerService.sleep(timers, failures.logRetryAfterMs)
+    const result = await program.runInOrder(() => appendAndCheck(journal, record))
+    if (!isOutcomeUnknown(result)) return result
   }
 }
 
-async function appendPlaced (journal: appendJournal.Journal, record: types.JournalRecord): Promise<errors.Result<types.Term>> {
+async function appendAndCheck (journal: appendJournal.Journal, record: types.JournalRecord): Promise<errors.Result<types.Term>> {
   const appended = await journal.append(record)
   return appended.ok ? checkEffect(record, appended.value) : appended
 }
 
-function isUnknown (result: errors.Result<unknown>): boolean {
+function isOutcomeUnknown (result: errors.Result<unknown>): boolean {
   return !result.ok && result.failure.tag === 'logUnavailable' && result.failure.verdict !== 'notRun'
 }
 
+/** Turns the effect of an appended record into its log position, or into a failure if it took no effect. */
 export function checkEffect (record: types.JournalRecord, appended: { readonly position: types.Term, readonly effect: programState.Effect }): errors.Result<types.Term> {
   const { effect, position } = appended
   switch (effect.type) {
     case 'applied': return errors.ok(position)
     case 'incomplete': return errors.fail({ tag: 'historyIncomplete', verdict: 'mayHaveRun', message: `records of ${record.program} have expired` })
-    case 'void': return errors.fail(isChainReason(effect.reason) ? superseded(record.program) : refusedContent(record, effect.reason))
+    case 'void': return errors.fail(isSupersededReason(effect.reason) ? createSupersededFailure(record.program) : createVoidRecordFailure(record, effect.reason))
     default: return errors.assertNever(effect)
   }
 }
 
-/** Reasons that mean that another home has written; the others mean that the content broke a rule. */
-function isChainReason (reason: programState.VoidReason): boolean {
+/** Whether a record was void because another home has written to the chain. The other reasons mean invalid content. */
+function isSupersededReason (reason: programState.VoidReason): boolean {
   switch (reason) {
     case 'duplicate':
     case 'olderTerm':
--- a/packages/programs/program-home/src/ports.ts
+++ b/packages/programs/program-home/src/ports.ts
@@ -1,26 +1,26 @@
-/** What a home needs from the process around it. */
+/** Interfaces that a home needs from the process it runs in. */
 import type * as configState from '@eelgrasswind/config-state'
 import type * as errors from '@eelgrasswind/errors'
 import type * as placeCall from '@eelgrasswind/place-call'
 import type * as types from '@eelgrasswind/types'
 
-/** A host's state as this process believes it. */
+/** State of a host as seen by this process. */
 export type HostState = 'live' | 'leaving' | 'suspect' | 'gone'
 
-/** The other processes of the system. */
+/** Membership and the requests to other homes. */
 export interface HostsPort {
   stateOf: (host: types.HostId) => HostState
-  /** The run that answered last; undefined before the first answer. */
+  /** Incarnation from the host's latest answer; undefined before the first answer. */
   getIncarnation: (host: types.HostId) => types.Incarnation | undefined
-  /** Asks a host which run of its process is up now. */
+  /** Asks a host for the current incarnation of its process. */
   fetchIncarnation: (host: types.HostId) => Promise<errors.Result<types.Incarnation>>
-  /** Whether this process is the first choice as the home of a program. */
+  /** Whether this process ranks first as the home of a program. */
   isFirstChoice: (program: types.ProgramId) => boolean
-  /** Asks another home to let go of a program. */
+  /** Asks another home to release a program; false if it is not its home. */
   requestRelease: (host: types.HostId, program: types.ProgramId) => Promise<errors.Result<boolean>>
 }
 
-/** The sidecars beside upstreams, this one included. */
+/** Requests to the sidecars of upstreams, this one included. */
 export interface DispatchPort {
   dispatch: (host: types.HostId, dispatch: types.Dispatch, ctx: types.RequestContext, signal: AbortSignal, onDelta: (text: string) => void) => Promise<errors.Result<types.DispatchAnswer>>
   seal: (host: types.HostId, seal: types.Seal) => Promise<errors.Result<types.SealState>>
@@ -28,13 +28,13 @@
   drop: (host: types.HostId, program: types.ProgramId, term: types.Term, upstream: types.UpstreamId) => Promise<errors.Result<void>>
 }
 
-/** Where calls may go, from the configuration and what is known of the hosts. */
+/** Candidate upstreams and their load. */
 export interface UpstreamsPort {
-  /** A bounded sample of the upstreams that serve a target, those named first always among them. */
+  /** Returns a bounded sample of the upstreams that serve a target. It always includes the preferred ones. */
   listCandidates: (target: types.CallTarget, preferred: readonly types.UpstreamId[]) => readonly placeCall.Candidate[]
   recordCallStart: (upstream: types.UpstreamId) => void
   recordCallEnd: (upstream: types.UpstreamId, load: types.UpstreamLoad | null) => void
-  /** Pieces of an answer that came in a time, to notice an engine that is slow. */
+  /** Records how long an answer took to grow by so many tokens, to detect slow engines. */
   recordSpeed: (upstream: types.UpstreamId, tokens: number, elapsedMs: number) => void
 }
 
--- a/packages/programs/program-home/src/reserve-budget.ts
+++ b/packages/programs/program-home/src/reserve-budget.ts
@@ -1,30 +1,30 @@
-/** Reserves what a call may use before it runs. */
+/** Estimates the usage of a call before it runs and checks it against the program's budget. */
 import type * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
 import * as programState from '@eelgrasswind/program-state'
 import type * as types from '@eelgrasswind/types'
 import * as local from './local-program.js'
 
-/** Bytes of a prompt for each token, on the low side so that estimates are high. */
+/** Prompt bytes per token. Lower than in practice, so that estimates are upper bounds. */
 const bytesPerToken = 3
 
-/** What a call is expected to need at most, and what each token costs. */
-export interface CallNeed {
+/** Upper bound of the tokens and the usage of a call. */
+export interface CallEstimate {
   readonly promptTokens: number
   readonly maxTokens: number
   readonly usage: types.Usage
 }
 
-/** An estimate from above for a prompt's tokens. */
-export function estimateTokens (messages: readonly types.ChatMessage[]): number {
+/** Upper bound of the tokens of a prompt. */
+export function estimatePromptTokens (messages: readonly types.ChatMessage[]): number {
   let tokens = 0
   for (const message of messages) tokens += 1 + Math.ceil(Buffer.byteLength(JSON.stringify(message)) / bytesPerToken)
   return tokens
 }
 
-export function needOf (cfg: configState.Config, state: programState.ProgramState, target: types.CallTarget, branch: types.BranchId): CallNeed {
+export function estimateCall (cfg: configState.Config, state: programState.ProgramState, target: types.CallTarget, branch: types.BranchId): CallEstimate {
   switch (target.type) {
-    case 'model': return modelNeed(cfg, state, target, branch)
+    case 'model': return estimateModelCall(cfg, state, target, branch)
     case 'service': {
       const microCost = cfg.services.get(target.service)?.microCostPerCall ?? 0
       return { promptTokens: 0, maxTokens: 0, usage: { tokens: 0, calls: 1, microCost } }
@@ -33,16 +33,16 @@
   }
 }
 
-function modelNeed (cfg: configState.Config, state: programState.ProgramState, target: Extract<types.CallTarget, { type: 'model' }>, branch: types.BranchId): CallNeed {
+function estimateModelCall (cfg: configState.Config, state: programState.ProgramState, target: Extract<types.CallTarget, { type: 'model' }>, branch: types.BranchId): CallEstimate {
   const kind = cfg.kinds.get(state.start.kind)
   const maxTokens = Math.min(target.maxTokens, kind?.maxTokens ?? target.maxTokens)
-  const promptTokens = estimateTokens([...programState.collectMessages(state, branch), ...target.messages])
+  const promptTokens = estimatePromptTokens([...programState.collectMessages(state, branch), ...target.messages])
   const tokens = { prompt: promptTokens, cached: 0, generated: maxTokens }
-  return { promptTokens, maxTokens, usage: usageOf(cfg, target, tokens) }
+  return { promptTokens, maxTokens, usage: computeUsage(cfg, target, tokens) }
 }
 
-/** What a finished call used. */
-export function usageOf (cfg: configState.Config, target: types.CallTarget, tokens: types.TokenCount): types.Usage {
+/** Usage of a call with the given token counts, at the configured prices. */
+export function computeUsage (cfg: configState.Config, target: types.CallTarget, tokens: types.TokenCount): types.Usage {
   switch (target.type) {
     case 'model': {
       const model = cfg.models.get(target.model)
@@ -56,24 +56,24 @@
 
 const limitedFields = ['tokens', 'calls', 'microCost'] as const
 
-/** Whether the need fits beside what is spent and reserved; the failure names the first field that does not. */
-export function checkBudget (program: local.LocalProgram, need: types.Usage): errors.Result<void> {
-  const used = local.addUsage(programState.computeSpent(program.state), local.addUsage(program.reserved, program.unrecorded))
+/** Checks that the usage fits into the budget beside spent, reserved and unrecorded usage. The failure names the first field that does not fit. */
+export function checkBudget (program: local.LocalProgram, usage: types.Usage): errors.Result<void> {
+  const used = local.addUsage(programState.computeSpent(program.state), local.addUsage(program.reserved, program.unrecordedUsage))
   const { budget } = program.state.start
   for (const field of limitedFields) {
     const remaining = budget[field] - used[field]
-    if (need[field] <= remaining) continue
-    return errors.fail(exceeded(field, need[field], remaining))
+    if (usage[field] <= remaining) continue
+    return errors.fail(createBudgetExceededFailure(field, usage[field], remaining))
   }
   return errors.ok(undefined)
 }
 
-function exceeded (field: string, need: number, remaining: number): errors.Failure {
-  const message = `the call may need ${need} ${field}, and ${remaining} are left of the program's budget`
+function createBudgetExceededFailure (field: string, neededAmount: number, remaining: number): errors.Failure {
+  const message = `the call may use ${neededAmount} ${field}, but only ${remaining} remain of the program's budget`
   return { tag: 'budgetExceeded', verdict: 'notRun', message, field: `budget.${field}`, remaining }
 }
 
-/** Time left of the program's wall time, in milliseconds. */
-export function wallLeftMs (state: programState.ProgramState, now: number): number {
+/** Remaining wall time of the program in milliseconds; negative once it is exceeded. */
+export function computeRemainingWallMs (state: programState.ProgramState, now: number): number {
   return state.at + state.start.budget.wallMs - now
 }
--- a/packages/programs/program-home/src/resolve-intent.ts
+++ b/packages/programs/program-home/src/resolve-intent.ts
@@ -1,14 +1,14 @@
 /**
- * Finds out what became of a non-idempotent dispatch whose answer is missing, without ever dispatching again:
- * the sidecar that it was meant for seals the key, or says how it ended.
+ * Determines the outcome of a non-idempotent dispatch whose answer was lost, without dispatching it again: the target
+ * sidecar either seals the request key, so that the request can never run, or reports how the request ended.
  */
 import * as errors from '@eelgrasswind/errors'
 import * as timerService from '@eelgrasswind/timer-service'
 import type * as types from '@eelgrasswind/types'
 import type * as ports from './ports.js'
 
-export type IntentEnd =
-  /** It never ran and never will. */
+export type IntentOutcome =
+  /** The request did not run; its key is sealed, so it never will. */
   | { readonly type: 'notRun' }
   | { readonly type: 'answered', readonly answer: types.DispatchAnswer }
   | { readonly type: 'failed', readonly verdict: 'mayHaveRun' | 'ran', readonly tag: string, readonly message: string }
@@ -17,66 +17,66 @@
   readonly program: types.ProgramId
   readonly key: types.RequestKey
   readonly upstream: types.UpstreamId
-  /** Position of the intent, or any later position of the same program where that is not known. */
+  /** Log position of the intent record, or any later position of the same program if that is not known. */
   readonly position: types.Term
-  /** When it was written, by its home's clock. */
+  /** When the intent was written, by the clock of the home that wrote it. */
   readonly at: types.EpochMs
   readonly dispatchTo: types.ProcessRef
 }
 
-/** Between two questions while the call still runs, or its sidecar can't be reached, in milliseconds. */
-const askPeriodMs = 250
-/** A sidecar that can't be reached for so long is given up on, in milliseconds. */
-const unreachablePatienceMs = 5_000
+/** Poll interval while the request is still running or its sidecar is unreachable. */
+const pollIntervalMs = 250
+/** The outcome is reported as unknown once the sidecar has been unreachable for this long. */
+const unreachableTimeoutMs = 5_000
 
-export interface ResolveDeps {
+export interface ResolveIntentDeps {
   readonly dispatchPort: Pick<ports.DispatchPort, 'seal'>
   readonly hosts: Pick<ports.HostsPort, 'stateOf' | 'getIncarnation'>
   readonly timers: timerService.TimerService
 }
 
-/** `runningPatienceMs`: how long a call that still runs there is waited for. */
-export async function resolveIntent (deps: ResolveDeps, intent: IntentRef, runningPatienceMs: number): Promise<IntentEnd> {
+/** Polls the target sidecar until the outcome is known. A request still running after `runningTimeoutMs` counts as unknown. */
+export async function resolveIntent (deps: ResolveIntentDeps, intent: IntentRef, runningTimeoutMs: number): Promise<IntentOutcome> {
   const startedAt = deps.timers.monotonic()
-  let reachedAt = startedAt
+  let lastReachedAt = startedAt
   for (;;) {
-    const sealed = await deps.dispatchPort.seal(intent.dispatchTo.host, sealOf(intent))
+    const sealed = await deps.dispatchPort.seal(intent.dispatchTo.host, toSeal(intent))
     const now = deps.timers.monotonic()
     if (sealed.ok) {
-      reachedAt = now
-      const end = endOf(sealed.value)
-      if (end !== undefined) return end
-      if (now - startedAt > runningPatienceMs) return unknownEnd('timeout', 'it is still running')
-    } else if (isReplaced(deps, intent) || now - reachedAt > unreachablePatienceMs) {
-      return unknownEnd(sealed.failure.tag, `its sidecar can't say: ${sealed.failure.message}`)
+      lastReachedAt = now
+      const outcome = toOutcome(sealed.value)
+      if (outcome !== undefined) return outcome
+      if (now - startedAt > runningTimeoutMs) return createUnknownOutcome('timeout', 'the request is still running')
+    } else if (isReplaced(deps, intent) || now - lastReachedAt > unreachableTimeoutMs) {
+      return createUnknownOutcome(sealed.failure.tag, `the sidecar did not report the outcome: ${sealed.failure.message}`)
     }
-    await timerService.sleep(deps.timers, askPeriodMs)
+    await timerService.sleep(deps.timers, pollIntervalMs)
   }
 }
 
-function sealOf (intent: IntentRef): types.Seal {
+function toSeal (intent: IntentRef): types.Seal {
   return { program: intent.program, key: intent.key, upstream: intent.upstream, intent: intent.position, intentAt: intent.at, incarnation: intent.dispatchTo.incarnation }
 }
 
-function endOf (state: types.SealState): IntentEnd | undefined {
+function toOutcome (state: types.SealState): IntentOutcome | undefined {
   switch (state.type) {
     case 'sealed': return { type: 'notRun' }
     case 'running': return undefined
     case 'answered': return { type: 'answered', answer: state.answer }
     case 'failed': return state
-    case 'otherIncarnation': return unknownEnd('wrongIncarnation', 'its sidecar was replaced')
-    case 'forgotten': return unknownEnd('timeout', 'it is too long ago')
+    case 'otherIncarnation': return createUnknownOutcome('wrongIncarnation', 'the sidecar was restarted or replaced')
+    case 'forgotten': return createUnknownOutcome('timeout', 'the sidecar no longer keeps a record of the request')
     default: return errors.assertNever(state)
   }
 }
 
-function isReplaced (deps: ResolveDeps, intent: IntentRef): boolean {
+function isReplaced (deps: ResolveIntentDeps, intent: IntentRef): boolean {
   const { host, incarnation } = intent.dispatchTo
   if (deps.hosts.stateOf(host) === 'gone') return true
   const latest = deps.hosts.getIncarnation(host)
   return latest !== undefined && latest !== incarnation
 }
 
-function unknownEnd (tag: string, message: string): IntentEnd {
+function createUnknownOutcome (tag: string, message: string): IntentOutcome {
   return { type: 'failed', verdict: 'mayHaveRun', tag, message }
 }
--- a/packages/programs/program-home/src/running-call.ts
+++ b/packages/programs/program-home/src/running-call.ts
@@ -1,40 +1,40 @@
-/** A call under way, and everyone who waits for its answer. */
+/** A call in flight and the requests that wait for its answer. */
 import * as errors from '@eelgrasswind/errors'
 import type * as types from '@eelgrasswind/types'
 
 export type CallResult = errors.Result<types.CallEnd>
 
 export class RunningCall {
-  private placed: types.Placement | undefined
-  private text: string[] = []
+  private placement: types.Placement | undefined
+  private deltas: string[] = []
   private readonly sinks = new Set<types.CallSink>()
-  private settle: (result: CallResult) => void = () => undefined
+  private resolveDone: (result: CallResult) => void = () => undefined
   private readonly done: Promise<CallResult>
-  /** Told to those who wait while the record of how it ended is not confirmed. */
-  private interim: errors.Failure | undefined
+  /** Failure returned to waiting requests while the record of the call's end is not confirmed. */
+  private interimFailure: errors.Failure | undefined
   private readonly interimWaiters = new Set<(failure: errors.Failure) => void>()
 
   constructor (readonly call: types.Call, readonly digest: string) {
-    this.done = new Promise((resolve) => { this.settle = resolve })
+    this.done = new Promise((resolve) => { this.resolveDone = resolve })
   }
 
   readonly sink: types.CallSink = {
     onPlaced: (placed) => {
-      this.placed = placed
-      this.text = []
+      this.placement = placed
+      this.deltas = []
       for (const sink of this.sinks) sink.onPlaced(placed)
     },
     onDelta: (text) => {
-      this.text.push(text)
+      this.deltas.push(text)
       for (const sink of this.sinks) sink.onDelta(text)
     }
   }
 
-  /** The answer, or an interim refusal while its record waits for the log; a late joiner gets the pieces so far. */
+  /** Waits for the answer, or for an interim failure while its record is not confirmed. First replays the placement and the deltas so far. */
   async join (sink: types.CallSink): Promise<CallResult> {
     this.replay(sink)
     this.sinks.add(sink)
-    const interim = this.nextInterim()
+    const interim = this.waitForInterimFailure()
     const result = await Promise.race([this.done, interim.failure])
     interim.cancel()
     this.sinks.delete(sink)
@@ -42,31 +42,31 @@
   }
 
   private replay (sink: types.CallSink): void {
-    if (this.placed === undefined) return
-    sink.onPlaced(this.placed)
-    if (this.text.length > 0) sink.onDelta(this.text.join(''))
+    if (this.placement === undefined) return
+    sink.onPlaced(this.placement)
+    if (this.deltas.length > 0) sink.onDelta(this.deltas.join(''))
   }
 
-  private nextInterim (): { failure: Promise<CallResult>, cancel: () => void } {
-    if (this.interim !== undefined) return { failure: Promise.resolve(errors.fail(this.interim)), cancel: () => undefined }
+  private waitForInterimFailure (): { failure: Promise<CallResult>, cancel: () => void } {
+    if (this.interimFailure !== undefined) return { failure: Promise.resolve(errors.fail(this.interimFailure)), cancel: () => undefined }
     let wake: (failure: errors.Failure) => void = () => undefined
-    const failure = new Promise<CallResult>((resolve) => { wake = (given) => resolve(errors.fail(given)) })
+    const failure = new Promise<CallResult>((resolve) => { wake = (interim) => resolve(errors.fail(interim)) })
     this.interimWaiters.add(wake)
     return { failure, cancel: () => this.interimWaiters.delete(wake) }
   }
 
-  /** Answers all who wait for now; the call goes on. */
-  answerForNow (failure: errors.Failure): void {
-    this.interim = failure
+  /** Fails all waiting requests, and those that join later. The call itself continues. */
+  failInterim (failure: errors.Failure): void {
+    this.interimFailure = failure
     for (const wake of [...this.interimWaiters]) wake(failure)
   }
 
-  /** Whether somebody was told that it has not run: then it never may. */
-  get toldNotRun (): boolean {
-    return this.interim?.verdict === 'notRun'
+  /** Whether a request was told that the call did not run; the call must then never be dispatched again. */
+  get hasReportedNotRun (): boolean {
+    return this.interimFailure?.verdict === 'notRun'
   }
 
-  end (result: CallResult): void {
-    this.settle(result)
+  complete (result: CallResult): void {
+    this.resolveDone(result)
   }
 }
--- a/packages/programs/program-home/src/test-runner.ts
+++ b/packages/programs/program-home/src/test-runner.ts
@@ -1,4 +1,4 @@
-/** A call runner over a journal in memory and upstreams that answer as told, for the tests of this package. */
+/** A call runner with an in-memory journal and scripted upstreams, for the tests of this package. */
 import * as configState from '@eelgrasswind/config-state'
 import * as errors from '@eelgrasswind/errors'
 import * as logger from '@eelgrasswind/logger'
@@ -9,7 +9,7 @@
 import type * as types from '@eelgrasswind/types'
 import * as callRunner from './call-runner.js'
 import * as homeMetrics from './home-metrics.js'
-import * as learnings from './learning.js'
+import * as workloadModel from './workload-model.js'
 import type * as ports from './ports.js'
 import * as programHome from './program-home.js'
 import type * as runningCalls from './running-call.js'
@@ -19,9 +19,9 @@
 
 const engineHost = 'engine-a' as types.HostId
 const engineAddress = 'http://127.0.0.1:1'
-const random = 0.5
+const randomValue = 0.5
 const context: types.RequestContext = { traceparent: '' }
-/** Wall time at which the program began, in ms. */
+/** Start time of the program on the wall clock, in milliseconds. */
 const startAt = 0
 
 export const answer: types.DispatchAnswer = {
@@ -31,16 +31,16 @@
   ranMs: 1
 }
 
-/** A runner and what its upstreams do. */
+/** A call runner, its home and the scripted upstreams. */
 export interface RunnerWorld {
   readonly timers: timerService.ManualTimers
   readonly journal: testJournal.TestJournal
-  /** Answers of the upstreams, in turn. */
+  /** Results of the next dispatches, in order; a complete answer once it is empty. */
   readonly answers: DispatchResult[]
   readonly dispatched: types.Dispatch[]
-  readonly ask: (call: types.Call) => Promise<runningCalls.CallResult>
-  /** The same through the home of the program. */
-  readonly askHome: (call: types.Call) => Promise<runningCalls.CallResult>
+  readonly runCall: (call: types.Call) => Promise<runningCalls.CallResult>
+  /** Runs a call through `ProgramHome`, not the call runner alone. */
+  readonly callHome: (call: types.Call) => Promise<runningCalls.CallResult>
 }
 
 export async function createWorld (): Promise<RunnerWorld> {
@@ -57,45 +57,45 @@
     hold: async () => errors.ok(undefined),
     drop: async () => errors.ok(undefined)
   }
-  const silent = logger.createSilentLogger()
+  const silentLogger = logger.createSilentLogger()
   const deps = {
     self: testJournal.home,
     journal: journal.journal,
     timers,
-    logger: silent,
-    config: config(),
-    hosts: hosts(),
-    upstreams: upstreams(),
+    logger: silentLogger,
+    config: createConfigPort(),
+    hosts: createHostsPort(),
+    upstreams: createUpstreamsPort(),
     dispatchPort,
     tracer: await tracing.createTracing({ serviceName: 'test', exporterUrl: null }),
     placeRule: placeCall.defaultPlaceRule,
-    random: () => random,
+    random: () => randomValue,
     holdRule: () => ({ type: 'never' as const }),
     cacheUsed: () => 0
   }
-  const off = metrics.createMetrics('off')
-  const runner = new callRunner.CallRunner({ ...deps, learning: new learnings.Learning(deps), metrics: new homeMetrics.HomeMetrics(off, timers.now) })
-  const home = new programHome.ProgramHome({ ...deps, metrics: off, admissionRule: () => ({ type: 'none' }), getLocalSlots: () => ({ slots: 4, waiting: 0 }) })
+  const disabledMetrics = metrics.createMetrics('off')
+  const runner = new callRunner.CallRunner({ ...deps, workloadModel: new workloadModel.WorkloadModel(deps), metrics: new homeMetrics.HomeMetrics(disabledMetrics, timers.now) })
+  const home = new programHome.ProgramHome({ ...deps, metrics: disabledMetrics, admissionRule: () => ({ type: 'none' }), getLocalSlots: () => ({ slots: 4, waiting: 0 }) })
   const sink: types.CallSink = { onPlaced: () => {}, onDelta: () => {} }
   return {
     timers,
     journal,
     answers,
     dispatched,
-    ask: (call) => runner.call(journal.program, call, context, sink),
-    askHome: (call) => home.call(call, context, sink)
+    runCall: (call) => runner.runCall(journal.program, call, context, sink),
+    callHome: (call) => home.call(call, context, sink)
   }
 }
 
-/** A call of the program, the first one where nothing else is said. */
-export function callOf (type: 'model' | 'service', idempotent: boolean, seq = 1): types.Call {
+/** Creates a call of the program, the first of its branch by default. */
+export function createCall (type: 'model' | 'service', idempotent: boolean, seq = 1): types.Call {
   const target: types.CallTarget = type === 'model'
     ? { type, model: 'm' as types.ModelId, messages: [], maxTokens: 20, options: {} }
     : { type, service: 'kit' as types.ServiceId, path: '/print', body: null }
   return { program: 'p1' as types.ProgramId, client: testJournal.client, key: `k${seq}` as types.RequestKey, branch: testJournal.mainBranch, seq, idempotent, timeoutMs: 20_000, target }
 }
 
-function hosts (): ports.HostsPort {
+function createHostsPort (): ports.HostsPort {
   return {
     stateOf: () => 'live',
     getIncarnation: () => 'e1' as types.Incarnation,
@@ -105,8 +105,8 @@
   }
 }
 
-function upstreams (): ports.UpstreamsPort {
-  const only: placeCall.Candidate = {
+function createUpstreamsPort (): ports.UpstreamsPort {
+  const onlyCandidate: placeCall.Candidate = {
     upstream: 'engine-a-1' as types.UpstreamId,
     host: engineHost,
     availabilityZone: 'makati-a' as types.AvailabilityZoneId,
@@ -119,14 +119,14 @@
     slowFactor: 1
   }
   return {
-    listCandidates: () => [only],
+    listCandidates: () => [onlyCandidate],
     recordCallStart: () => {},
     recordCallEnd: () => {},
     recordSpeed: () => {}
   }
 }
 
-function config (): () => configState.Config {
+function createConfigPort (): () => configState.Config {
   const checked = configState.validateConfig({
     hosts: { 'engine-a': { region: 'ncr', availabilityZone: 'makati-a', upstreams: [{ id: 'engine-a-1', type: 'engine', address: engineAddress, models: ['m'], contextTokens: 1_000, slots: 4, cacheTokens: 1_000, checksFencing: true }] } },
     models: { m: { version: '1', microCostPerPromptToken: 1, microCostPerGeneratedToken: 1 } },
