--- a/packages/programs/process-base/src/index.ts
+++ b/packages/programs/process-base/src/index.ts
@@ -1,4 +1,4 @@
-/** What every process of the system shares: settings, hosts, configuration and its end. */
+/** Shared parts of entry and sidecar processes: settings, host directory, configuration, metrics, start and shutdown. */
 export * from './base-settings.js'
 export * from './host-directory.js'
 export * from './load-settings.js'
--- a/packages/programs/process-base/src/load-settings.ts
+++ b/packages/programs/process-base/src/load-settings.ts
@@ -1,43 +1,44 @@
-/** Reads the settings file that the command line names. */
+/** Parses the command line and loads the settings file it names. */
 import * as fs from 'node:fs'
 import * as util from 'node:util'
 import * as parseSettings from '@eelgrasswind/parse-settings'
 import type * as z from 'zod'
 
+/** Outcome of loading the settings. */
 export type LoadedSettings<T> =
   | { readonly type: 'run', readonly settings: T }
-  /** Nothing more to do: print the text and end with the code. */
+  /** Don't start: print the text and exit with the code. */
   | { readonly type: 'exit', readonly code: number, readonly text: string }
 
 const exitInvalid = 1
 const exitUsage = 2
 
-function exit<T> (code: number, text: string): LoadedSettings<T> {
+function createExit<T> (code: number, text: string): LoadedSettings<T> {
   return { type: 'exit', code, text }
 }
 
-/** Understands `--settings FILE`, `--check` and `--help`. */
+/** Loads the settings. Accepts `--settings FILE`, `--check` and `--help`. */
 export function loadSettings<T> (binary: string, args: readonly string[], schema: z.ZodType<T>): LoadedSettings<T> {
-  const usage = `usage: ${binary} --settings FILE [--check]\n\n  --settings FILE  settings in JSON with comments, see docs/settings.md\n  --check          check the settings and end\n`
+  const usage = `usage: ${binary} --settings FILE [--check]\n\n  --settings FILE  settings in JSON with comments, see docs/settings.md\n  --check          check the settings and exit\n`
   let values: { settings?: string | undefined, check?: boolean | undefined, help?: boolean | undefined }
   try {
     values = util.parseArgs({ args: [...args], options: { settings: { type: 'string' }, check: { type: 'boolean' }, help: { type: 'boolean' } } }).values
   } catch (err) {
-    return exit(exitUsage, `${(err as Error).message}\n${usage}`)
+    return createExit(exitUsage, `${(err as Error).message}\n${usage}`)
   }
-  if (values.help === true) return exit(0, usage)
-  if (values.settings === undefined) return exit(exitUsage, usage)
-  return readFile(values.settings, values.check === true, schema)
+  if (values.help === true) return createExit(0, usage)
+  if (values.settings === undefined) return createExit(exitUsage, usage)
+  return readSettingsFile(values.settings, values.check === true, schema)
 }
 
-function readFile<T> (file: string, checkOnly: boolean, schema: z.ZodType<T>): LoadedSettings<T> {
+function readSettingsFile<T> (file: string, checkOnly: boolean, schema: z.ZodType<T>): LoadedSettings<T> {
   let text: string
   try {
     text = fs.readFileSync(file, 'utf8')
   } catch (err) {
-    return exit(exitInvalid, `${file}: ${(err as Error).message}\n`)
+    return createExit(exitInvalid, `${file}: ${(err as Error).message}\n`)
   }
   const parsed = parseSettings.parseSettings(text, schema, file)
-  if (!parsed.ok) return exit(exitInvalid, `${parseSettings.formatSettingsErrors(parsed.failure)}\n`)
-  return checkOnly ? exit(0, `${file}: ok\n`) : { type: 'run', settings: parsed.value }
+  if (!parsed.ok) return createExit(exitInvalid, `${parseSettings.formatSettingsErrors(parsed.failure)}\n`)
+  return checkOnly ? createExit(0, `${file}: ok\n`) : { type: 'run', settings: parsed.value }
 }
--- a/packages/programs/process-base/src/process-base.ts
+++ b/packages/programs/process-base/src/process-base.ts
@@ -1,4 +1,4 @@
-/** Opens what every process of the system needs, in the order in which each part needs the one before. */
+/** Opens the components that every entry and sidecar needs, in order of their dependencies. */
 import * as crypto from 'node:crypto'
 import * as chooseHome from '@eelgrasswind/choose-home'
 import type * as configState from '@eelgrasswind/config-state'
@@ -15,6 +15,7 @@
 import type * as baseSettings from './base-settings.js'
 import * as hostDirectory from './host-directory.js'
 
+/** The components that every entry and sidecar needs. */
 export interface ProcessBase {
   readonly self: types.ProcessRef
   readonly startedAt: types.EpochMs
@@ -25,16 +26,17 @@
   readonly metrics: metrics.Metrics
   readonly directory: hostDirectory.HostDirectory
   readonly configFollower: followConfig.ConfigFollower
-  /** The configuration in force, or undefined before the first. */
+  /** Returns the current configuration; undefined until the first is loaded. */
   readonly config: () => configState.Config | undefined
   readonly close: () => Promise<void>
 }
 
-/** A copy that is due and was not written falls to another process after this time, in milliseconds. */
+/** A configuration copy that is due and not written by its owner falls to another owner after this time. */
 const copyRoundMs = 10 * 60_000
-/** Peers asked for a newer configuration at once. */
-const configPeers = 2
+/** Most peers asked for a newer configuration at once. */
+const maxConfigPeers = 2
 
+/** Opens the components and reads the host list once. */
 export async function openProcessBase (name: string, settings: baseSettings.BaseSettings): Promise<ProcessBase> {
   const timers = timerService.createRealTimers()
   const host = settings.host as types.HostId
@@ -42,7 +44,7 @@
   const log = logger.createLogger({ name, host, level: settings.logLevel, stream: process.stderr })
   const logService = logClient.createLogClient(settings.log)
   const hostList = hostListClient.createHostListClient(settings.hostList)
-  const sent = metrics.createMetrics(settings.metrics === null
+  const metricsClient = metrics.createMetrics(settings.metrics === null
     ? 'off'
     : { host: settings.metrics.address, port: settings.metrics.port, prefix: 'eelgrasswind.', tags: { host, availability_zone: settings.availabilityZone, program: name } })
   const tracer = await tracing.createTracing({ serviceName: name, exporterUrl: settings.tracesUrl })
@@ -51,24 +53,24 @@
     hostList,
     timers,
     logger: log,
-    homes: await chooseHome.createHomeChooser(),
-    config: () => follower.current()?.config
+    homeChooser: await chooseHome.createHomeChooser(),
+    config: () => configFollower.current()?.config
   })
-  const follower: followConfig.ConfigFollower = followConfig.createConfigFollower({
+  const configFollower: followConfig.ConfigFollower = followConfig.createConfigFollower({
     log: logService,
     timers,
     logger: log,
     pollMs: settings.configPollMs,
-    fetchFromPeers: (have) => askPeersForConfig(directory, host, have),
+    fetchFromPeers: (knownVersion) => fetchConfigFromPeers(directory, host, knownVersion),
     copies: { author: host, isCopyWriter: () => directory.findOwner({ type: 'configCopy', round: Math.floor(timers.now() / copyRoundMs) }) === host }
   })
   await directory.readHostList()
-  directory.settle()
+  directory.refresh()
 
   async function close (): Promise<void> {
-    follower.close()
+    configFollower.close()
     directory.close()
-    await Promise.all([logService.close(), hostList.close(), tracer.close(), sent.close()])
+    await Promise.all([logService.close(), hostList.close(), tracer.close(), metricsClient.close()])
   }
 
   return {
@@ -78,33 +80,33 @@
     logger: log,
     logService,
     tracer,
-    metrics: sent,
+    metrics: metricsClient,
     directory,
-    configFollower: follower,
-    config: () => follower.current()?.config,
+    configFollower,
+    config: () => configFollower.current()?.config,
     close
   }
 }
 
-/** The newest configuration that a few other processes have. */
-async function askPeersForConfig (directory: hostDirectory.HostDirectory, self: types.HostId, have: types.ConfigVersion): Promise<sidecarClient.PeerConfig | null> {
+/** Asks a few live peers, drawn at random, and returns their newest configuration; null if none is newer than `knownVersion`. */
+async function fetchConfigFromPeers (directory: hostDirectory.HostDirectory, self: types.HostId, knownVersion: types.ConfigVersion): Promise<sidecarClient.PeerConfig | null> {
   const hosts = [...directory.listHosts()].filter(({ entry, state }) => entry.host !== self && state === 'live').map(({ entry }) => entry.host)
   const start = Math.floor(Math.random() * hosts.length)
-  const asked = [...hosts.slice(start), ...hosts.slice(0, start)].slice(0, configPeers)
-  const answers = await Promise.all(asked.map((host) => directory.callPeer(host, (peer) => peer.getConfig(have))))
+  const asked = [...hosts.slice(start), ...hosts.slice(0, start)].slice(0, maxConfigPeers)
+  const answers = await Promise.all(asked.map((host) => directory.callPeer(host, (peer) => peer.getConfig(knownVersion))))
   const newer = answers.flatMap((answer) => answer.ok && answer.value !== null ? [answer.value] : [])
   return newer.reduce<sidecarClient.PeerConfig | null>((best, next) => best === null || next.version > best.version ? next : best, null)
 }
 
-/** What any process says of itself to peers and operators. */
-export function createProcessHandlers (base: ProcessBase, own: { status: () => types.ProcessStatus, explain: (program: types.ProgramId, key: types.RequestKey | null) => types.CallExplanation, loads: () => readonly types.UpstreamLoad[] }): sidecarClient.ProcessHandlers {
+/** Creates the handlers for requests of peers and operators about the process itself. */
+export function createProcessHandlers (base: ProcessBase, handlers: { status: () => types.ProcessStatus, explain: (program: types.ProgramId, key: types.RequestKey | null) => types.CallExplanation, loads: () => readonly types.UpstreamLoad[] }): sidecarClient.ProcessHandlers {
   return {
-    getStatus: async () => errors.ok(own.status()),
-    explain: async (program, key) => errors.ok(own.explain(program, key)),
-    getLoads: async () => errors.ok(own.loads()),
-    async getConfig (have) {
+    getStatus: async () => errors.ok(handlers.status()),
+    explain: async (program, key) => errors.ok(handlers.explain(program, key)),
+    getLoads: async () => errors.ok(handlers.loads()),
+    async getConfig (knownVersion) {
       const current = base.configFollower.current()
-      if (current === undefined || current.version <= have) return errors.ok(null)
+      if (current === undefined || current.version <= knownVersion) return errors.ok(null)
       return errors.ok({ version: current.version, config: followConfig.toPeerConfig(current) })
     }
   }
