--- a/packages/programs/program-home/src/attempt.ts
+++ b/packages/programs/program-home/src/attempt.ts
@@ -5,6 +5,7 @@
 import type * as reserve from './reserve-budget.js'
 import type * as runningCalls from './running-call.js'
 
+/** A call in progress, shared by all of its attempts. */
 export interface Attempt {
   readonly program: local.LocalProgram
   readonly runningCall: runningCalls.RunningCall
--- a/packages/programs/program-home/src/call-runner.ts
+++ b/packages/programs/program-home/src/call-runner.ts
@@ -24,6 +24,7 @@
 import * as runningCalls from './running-call.js'
 import * as turnWriter from './turn-writer.js'
 
+/** Dependencies of the call runner. */
 export interface CallRunnerDeps {
   readonly self: types.ProcessRef
   readonly journal: appendJournal.Journal
@@ -42,8 +43,9 @@
 }
 
 /** Most turns that may be unconfirmed at once; beyond that, new calls are refused. */
-const maxUnconfirmed = 512
+const maxUnconfirmedTurns = 512
 
+/** Runs calls and keeps the state that all programs of the process share: its retry budget and unconfirmed turns. */
 export class CallRunner {
   private processRetryBudget = limitClient.createRetryBudget(limitClient.processRetrySettings)
   private readonly turnWriter: turnWriter.TurnWriter
@@ -53,6 +55,7 @@
     this.turnWriter = new turnWriter.TurnWriter(deps)
   }
 
+  /** Runs a call, or answers a repeat of an earlier one. Deltas of the answer go to `sink`. */
   async runCall (program: local.LocalProgram, call: types.Call, ctx: types.RequestContext, sink: types.CallSink): Promise<runningCalls.CallResult> {
     const digest = programState.computeRequestDigest(call)
     const check = checkCall.checkCall(program, call, digest)
@@ -69,7 +72,7 @@
   }
 
   private async startCall (program: local.LocalProgram, call: types.Call, digest: string, ctx: types.RequestContext, sink: types.CallSink): Promise<runningCalls.CallResult> {
-    if (this.turnWriter.unconfirmedCount >= maxUnconfirmed || !this.deps.journal.isAvailable()) return errors.fail(failures.createLogUnavailableFailure('notRun'))
+    if (this.turnWriter.unconfirmedCount >= maxUnconfirmedTurns || !this.deps.journal.isAvailable()) return errors.fail(failures.createLogUnavailableFailure('notRun'))
     const estimate = reserve.estimateCall(this.deps.config(), program.state, call.target, call.branch)
     const budgetCheck = reserve.checkBudget(program, estimate.usage)
     if (!budgetCheck.ok) {
@@ -96,7 +99,7 @@
     try {
       result = await this.runAttempts(attempt)
     } catch (err) {
-      this.deps.logger.error({ err, program: program.id, call: runningCall.call.key }, 'call failed')
+      this.deps.logger.error({ err, program: program.id, call: runningCall.call.key }, 'unexpected error while running a call')
       result = errors.fail(errors.toFailure(err))
       this.countUnrecorded(attempt, result)
     }
@@ -228,15 +231,15 @@
     }
     const { record, result } = await journalWriter.appendNext(this.deps.journal, program, intent)
     if (result.ok || result.failure.verdict === 'notRun') return result
-    await this.voidIntent(attempt, record, result.failure)
+    await this.resolveUnconfirmedIntent(attempt, record, result.failure)
     return result
   }
 
   /**
    * Handles an intent record that may or may not be stored. Its caller gets notRun at once, so it must never be
-   * dispatched. The record is appended again until its outcome is known, and settled as notRun if it took effect.
+   * dispatched. Its chain position stays in use until its outcome is known; if it took effect, it is settled as notRun.
    */
-  private async voidIntent (attempt: attempts.Attempt, intent: types.JournalRecord, failure: errors.Failure): Promise<void> {
+  private async resolveUnconfirmedIntent (attempt: attempts.Attempt, intent: types.JournalRecord, failure: errors.Failure): Promise<void> {
     const { program, runningCall } = attempt
     runningCall.failInterim({ ...failure, verdict: 'notRun' })
     const appended = await journalWriter.resolveRecord(this.deps, program, intent)
@@ -267,6 +270,7 @@
     return written
   }
 
+  /** Derives the outcome from the dispatch result. Asks the sidecar if the call may have run. */
   private async resolveIntentOutcome (attempt: attempts.Attempt, intent: Pick<resolving.IntentRef, 'upstream' | 'dispatchTo' | 'position' | 'at'>, result: errors.Result<types.DispatchAnswer>): Promise<resolving.IntentOutcome> {
     if (result.ok) return { type: 'answered', answer: result.value }
     const { failure } = result
--- a/packages/programs/program-home/src/check-call.ts
+++ b/packages/programs/program-home/src/check-call.ts
@@ -5,6 +5,7 @@
 import type * as local from './local-program.js'
 import type * as runningCalls from './running-call.js'
 
+/** Outcome of the check. */
 export type CallCheck =
   | { readonly type: 'run' }
   /** A repeat of a finished call. */
@@ -15,8 +16,10 @@
   | { readonly type: 'openIntent' }
   | { readonly type: 'refuse', readonly failure: errors.Failure }
 
+/** Retry-after time of calls to a program that is being released. */
 const retryAfterMs = 500
 
+/** Checks a call by its request key first, then by its sequence number. `digest` tells a repeat from a reused key. */
 export function checkCall (program: local.LocalProgram, call: types.Call, digest: string): CallCheck {
   const { state } = program
   if (state.start.client !== call.client) return refuse({ tag: 'unknownProgram', verdict: 'notRun', message: `client ${call.client} has no program ${call.program}` })
--- a/packages/programs/program-home/src/home-metrics.ts
+++ b/packages/programs/program-home/src/home-metrics.ts
@@ -6,6 +6,7 @@
 import type * as types from '@eelgrasswind/types'
 import type * as runningCalls from './running-call.js'
 
+/** One method per event. */
 export class HomeMetrics {
   constructor (private readonly metrics: metrics.Metrics, private readonly now: () => number) {}
 
--- a/packages/programs/program-home/src/local-program.ts
+++ b/packages/programs/program-home/src/local-program.ts
@@ -8,15 +8,19 @@
 /** Latest decisions kept per program. */
 const maxDecisions = 60
 
+/** The program's recorded state with its calls in flight, reservations and cache location. */
 export class LocalProgram {
   readonly runningCalls = new Map<types.RequestKey, runningCalls.RunningCall>()
   /** Usage reserved for calls in flight, without those with an open intent, which the program state counts. */
   reserved: types.Usage = zeroUsage
   /** Upper bound of the usage of failed attempts that left no record. */
   unrecordedUsage: types.Usage = zeroUsage
+  /** Upstream and host of the last answered model call, whose cache may hold the program's prefix. */
   lastUpstream: types.UpstreamId | undefined
   lastHost: types.HostId | undefined
+  /** Length of that prefix in tokens. */
   cachedTokens = 0
+  /** End of the last call on the wall clock, in milliseconds; cleared when the next one starts. */
   lastCallEndedAt: number | undefined
   /** True while the program finishes or moves to another home; it accepts no new calls. */
   isReleasing = false
@@ -36,6 +40,7 @@
     if (this.decisions.length > maxDecisions) this.decisions.shift()
   }
 
+  /** The latest decisions, oldest first. */
   getDecisions (): readonly types.Decision[] {
     return this.decisions
   }
@@ -47,6 +52,7 @@
     return await result
   }
 
+  /** Removes a call that has ended. Wakes `waitUntilIdle` if it was the last one. */
   removeCall (key: types.RequestKey): void {
     this.runningCalls.delete(key)
     if (this.runningCalls.size > 0) return
--- a/packages/programs/program-home/src/ports.ts
+++ b/packages/programs/program-home/src/ports.ts
@@ -22,9 +22,13 @@
 
 /** Requests to the sidecars of upstreams, this one included. */
 export interface DispatchPort {
+  /** Dispatches a call to an upstream; `onDelta` gets the text of a streamed answer. */
   dispatch: (host: types.HostId, dispatch: types.Dispatch, ctx: types.RequestContext, signal: AbortSignal, onDelta: (text: string) => void) => Promise<errors.Result<types.DispatchAnswer>>
+  /** Seals a request key, so that it can't run any more, or returns how the request ended. */
   seal: (host: types.HostId, seal: types.Seal) => Promise<errors.Result<types.SealState>>
+  /** Holds a program's prefix in the upstream's cache for `holdMs`. */
   hold: (host: types.HostId, program: types.ProgramId, term: types.Term, upstream: types.UpstreamId, holdMs: number) => Promise<errors.Result<void>>
+  /** Releases a held prefix. */
   drop: (host: types.HostId, program: types.ProgramId, term: types.Term, upstream: types.UpstreamId) => Promise<errors.Result<void>>
 }
 
@@ -38,4 +42,5 @@
   recordSpeed: (upstream: types.UpstreamId, tokens: number, elapsedMs: number) => void
 }
 
+/** Returns the current configuration. */
 export type ConfigPort = () => configState.Config
--- a/packages/programs/program-home/src/program-home.ts
+++ b/packages/programs/program-home/src/program-home.ts
@@ -18,6 +18,7 @@
 import * as startProgram from './start-program.js'
 import * as takeOvers from './take-over.js'
 
+/** Dependencies of the home. */
 export interface ProgramHomeDeps extends Omit<callRunner.CallRunnerDeps, 'workloadModel' | 'metrics'> {
   readonly metrics: metrics.Metrics
   readonly holdRule: () => retainPrefix.HoldRule
@@ -27,10 +28,12 @@
   readonly getLocalSlots: () => { readonly slots: number, readonly waiting: number }
 }
 
+/** Retry-after time of refused requests. */
 const retryAfterMs = 500
 /** How long to wait for a dispatch of an earlier home that is still running. */
 const settleTimeoutMs = 30_000
 
+/** Serves the requests to programs. Requests for a program that is not at home here take it over first, if allowed. */
 export class ProgramHome {
   private readonly programs = new Map<types.ProgramId, local.LocalProgram>()
   private readonly pendingOpens = new Map<types.ProgramId, Promise<errors.Result<local.LocalProgram>>>()
@@ -45,12 +48,14 @@
     this.runner = new callRunner.CallRunner({ ...deps, workloadModel: this.workloadModel, metrics: this.metrics })
   }
 
+  /** Number of programs at home here. */
   get programCount (): number {
     return this.programs.size
   }
 
   // ---- start
 
+  /** Starts a program. A repeat with the same fields returns the program as it is. */
   async start (req: types.StartRequest, _ctx: types.RequestContext): Promise<errors.Result<types.ProgramDocument>> {
     if (this.isDraining) return errors.fail(this.createShuttingDownFailure())
     const openProgram = this.programs.get(req.program)
@@ -61,7 +66,7 @@
     if (head.value !== undefined) return await this.openAndCheckStart(req)
     const start = startProgram.completeStart(this.deps.config(), req, this.deps.timers.now())
     if (!start.ok) return start
-    const admitted = this.admit(start.value)
+    const admitted = this.checkAdmission(start.value)
     if (!admitted.ok) return admitted
     return await this.appendBegin(start.value, req)
   }
@@ -77,7 +82,7 @@
     return opened.ok ? this.checkSameStart(opened.value.state, req) : opened
   }
 
-  private admit (start: types.ProgramStart): errors.Result<void> {
+  private checkAdmission (start: types.ProgramStart): errors.Result<void> {
     const { slots, waiting } = this.deps.getLocalSlots()
     const input = this.workloadModel.createAdmissionInput(this.deps.config(), start, this.programs.values(), slots, waiting)
     const decision = admitProgram.decideAdmission(this.deps.admissionRule(), input)
@@ -174,10 +179,10 @@
     const openProgram = this.programs.get(program)
     if (openProgram === undefined) return
     this.deps.logger.warn({ program }, 'another process became the home of a program')
-    this.forget(openProgram)
+    this.removeProgram(openProgram)
   }
 
-  private forget (program: local.LocalProgram): void {
+  private removeProgram (program: local.LocalProgram): void {
     program.isReleasing = true
     program.wallTimeout?.cancel()
     this.programs.delete(program.id)
@@ -186,6 +191,7 @@
 
   // ---- calls
 
+  /** Runs a call. If it is refused for its sequence number, it is checked again after the journal was read. */
   async call (call: types.Call, ctx: types.RequestContext, sink: types.CallSink): Promise<errors.Result<types.CallEnd>> {
     const opened = await this.openForCall(call)
     if (!opened.ok) return opened
@@ -196,6 +202,7 @@
     return confirmed.ok ? await this.runner.runCall(confirmed.value, call, ctx, sink) : confirmed
   }
 
+  /** Logs the state that a sequence failure was decided on. */
   private logSequenceRefusal ({ state, runningCalls }: local.LocalProgram, { program, key, branch, seq }: types.Call, { tag, message }: errors.Failure): void {
     const { n, term, turns, intents } = state
     this.deps.logger.info({ program, key, branch, seq, tag, n, term, turns: turns.length, intents: [...intents.keys()], running: [...runningCalls.keys()] }, message)
@@ -212,6 +219,7 @@
 
   // ---- finish and read
 
+  /** Finishes a program. Refused while calls are in flight; a repeat with the same result succeeds. */
   async finish (program: types.ProgramId, result: types.FinishResult, _ctx: types.RequestContext): Promise<errors.Result<types.ProgramDocument>> {
     if (this.isDraining) return errors.fail(this.createShuttingDownFailure())
     const opened = await this.open(program)
@@ -241,15 +249,17 @@
     this.workloadModel.observeFinish(program)
     this.metrics.onProgramFinished(program.state, result)
     const document = this.toDocument(program.state, false)
-    this.forget(program)
+    this.removeProgram(program)
     return errors.ok(document)
   }
 
+  /** Returns a program, with all of its turns if `history` is true. */
   async read (program: types.ProgramId, history: boolean): Promise<errors.Result<types.ProgramDocument>> {
     const opened = history ? await this.openAfterHeadRead(program) : await this.open(program)
     return opened.ok ? errors.ok(this.toDocument(opened.value.state, history)) : opened
   }
 
+  /** Lists up to `limit` programs at home here. */
   async list (limit: number): Promise<errors.Result<readonly types.ProgramSummary[]>> {
     const summaries: types.ProgramSummary[] = []
     for (const program of this.programs.values()) {
@@ -259,6 +269,7 @@
     return errors.ok(summaries)
   }
 
+  /** Returns the latest decisions on a program; none if it is not at home here. */
   explain (program: types.ProgramId, key: types.RequestKey | null): types.CallExplanation {
     return { program, key, decisions: this.programs.get(program)?.getDecisions() ?? [] }
   }
@@ -310,7 +321,7 @@
     await this.returnAllowance(openProgram)
     if (this.programs.get(program) !== openProgram) return errors.ok(false)
     this.deps.logger.info({ program, askedBy }, 'released a program')
-    this.forget(openProgram)
+    this.removeProgram(openProgram)
     return errors.ok(true)
   }
 
--- a/packages/programs/program-home/src/reserve-budget.ts
+++ b/packages/programs/program-home/src/reserve-budget.ts
@@ -22,6 +22,7 @@
   return tokens
 }
 
+/** Estimates a call. Its prompt is the branch's messages so far and those of the call; unknown prices count as 0. */
 export function estimateCall (cfg: configState.Config, state: programState.ProgramState, target: types.CallTarget, branch: types.BranchId): CallEstimate {
   switch (target.type) {
     case 'model': return estimateModelCall(cfg, state, target, branch)
--- a/packages/programs/program-home/src/resolve-intent.ts
+++ b/packages/programs/program-home/src/resolve-intent.ts
@@ -7,12 +7,14 @@
 import type * as types from '@eelgrasswind/types'
 import type * as ports from './ports.js'
 
+/** Outcome of a dispatch; verdict mayHaveRun means that it stays unknown. */
 export type IntentOutcome =
   /** The request did not run; its key is sealed, so it never will. */
   | { readonly type: 'notRun' }
   | { readonly type: 'answered', readonly answer: types.DispatchAnswer }
   | { readonly type: 'failed', readonly verdict: 'mayHaveRun' | 'ran', readonly tag: string, readonly message: string }
 
+/** Identifies an intent and the sidecar it was dispatched to. */
 export interface IntentRef {
   readonly program: types.ProgramId
   readonly key: types.RequestKey
--- a/packages/programs/program-home/src/running-call.ts
+++ b/packages/programs/program-home/src/running-call.ts
@@ -4,6 +4,7 @@
 
 export type CallResult = errors.Result<types.CallEnd>
 
+/** Fans placement and deltas of one call out to all requests that joined it. */
 export class RunningCall {
   private placement: types.Placement | undefined
   private deltas: string[] = []
@@ -66,6 +67,7 @@
     return this.interimFailure?.verdict === 'notRun'
   }
 
+  /** Returns the result to all waiting requests. */
   complete (result: CallResult): void {
     this.resolveDone(result)
   }
--- a/packages/programs/program-home/src/take-over.ts
+++ b/packages/programs/program-home/src/take-over.ts
@@ -8,6 +8,7 @@
 import type * as ports from './ports.js'
 import * as journalWriter from './journal-writer.js'
 
+/** Dependencies of a takeover. */
 export interface TakeOverDeps {
   readonly self: types.ProcessRef
   readonly journal: appendJournal.Journal
@@ -20,6 +21,7 @@
 
 /** Lost claims after which this process stops trying. */
 const maxClaimAttempts = 3
+/** Retry-after time of requests that this process can't serve as the home. */
 const retryAfterMs = 500
 
 interface JournalHead {
@@ -80,8 +82,8 @@
 
 /**
  * Decides for a process that ranks behind the home but was asked for the program: the asker failed to reach the home,
- * or has an older host list. A home that answers in its old incarnation keeps the program; otherwise this process may
- * not have noticed yet that it is gone.
+ * or has an older host list. A home that answers in the same incarnation keeps the program. The home is asked, as it may
+ * be gone without this process having noticed yet.
  */
 async function claimIfReplaced (deps: TakeOverDeps, home: types.ProcessRef): Promise<ClaimDecision> {
   const answer = await deps.hosts.fetchIncarnation(home.host)
--- a/packages/programs/program-home/src/turn-writer.ts
+++ b/packages/programs/program-home/src/turn-writer.ts
@@ -25,12 +25,14 @@
 /** How long a caller waits for the record of its complete answer before it gets a failure. */
 export const recordTimeoutMs = 3_000
 
+/** Appends turn records. */
 export class TurnWriter {
   /** Number of turns whose record is not confirmed yet. */
   unconfirmedCount = 0
 
   constructor (private readonly deps: TurnWriterDeps) {}
 
+  /** Records an answer. For a model call, it also updates the cache location of the program and holds its prefix. */
   async recordAnswer (attempt: attempts.Attempt, attemptOutcome: Extract<attempts.AttemptOutcome, { type: 'answered' }>): Promise<runningCalls.CallResult> {
     const { program, runningCall } = attempt
     const { tokens, outcome } = attemptOutcome.answer
@@ -46,6 +48,7 @@
     return result
   }
 
+  /** Records a failure of a call that ran or may have run; its whole estimate counts as used. */
   async recordFailure (attempt: attempts.Attempt, attemptOutcome: Extract<attempts.AttemptOutcome, { type: 'recordFailure' }>): Promise<runningCalls.CallResult> {
     const tokens = { prompt: 0, cached: 0, generated: 0 }
     return await this.recordTurn(attempt, { outcome: attemptOutcome.outcome, usage: attempt.estimate.usage, tokens, upstream: attemptOutcome.upstream, startedAt: attemptOutcome.startedAt })
--- a/packages/programs/program-home/src/workload-model.ts
+++ b/packages/programs/program-home/src/workload-model.ts
@@ -10,6 +10,7 @@
 import type * as local from './local-program.js'
 import type * as ports from './ports.js'
 
+/** Dependencies of the workload model. */
 export interface WorkloadModelDeps {
   readonly timers: timerService.TimerService
   readonly logger: logger.Logger
@@ -27,9 +28,11 @@
 /** Assumed survival time of an unheld prefix in a full cache; engines do not report it. */
 const fullCacheSurvivalMs = 20_000
 
+/** Learns remaining work, tool pauses and slowdown from the calls of the home's programs. */
 export class WorkloadModel {
   private readonly remainingEstimator = orderQueue.createRemainingEstimator()
   private readonly pauseLearner = retainPrefix.createPauseLearner()
+  /** Moving average of a call's total time divided by its run time, at least 1. */
   private slowdown = 1
   private readonly meanUtilization: admitProgram.MeanUtilization
   /** Moving average of weight per millisecond of run time, over all programs that asked for admission. */
@@ -46,12 +49,14 @@
     program.lastCallEndedAt = undefined
   }
 
+  /** Records a finished program: its last pause and its turns. */
   observeFinish (program: local.LocalProgram): void {
     const { kind } = program.state.start
     if (program.lastCallEndedAt !== undefined) this.pauseLearner.observe(kind, { type: 'gone', afterMs: this.deps.timers.now() - program.lastCallEndedAt })
     this.remainingEstimator.observe(kind, program.state.turns.map(toTurnWork))
   }
 
+  /** Computes the input by which a sidecar orders its queue. */
   createQueueInput (cfg: configState.Config, program: local.LocalProgram): types.QueueInput {
     const { start, turns } = program.state
     return {
