--- a/packages/programs/program-home/src/allowance.ts
+++ b/packages/programs/program-home/src/allowance.ts
@@ -31,8 +31,8 @@
 export function computeNextAllowance (cfg: configState.Config, program: local.LocalProgram, callUsage: types.Usage, endingUsage: types.Usage = local.zeroUsage): types.Usage {
   const openUsage = local.subtractUsage(local.addUsage(program.reserved, program.unrecordedUsage), endingUsage)
   const remaining = local.subtractUsage(local.subtractUsage(program.state.start.budget, programState.computeSpent(program.state)), openUsage)
-  const likeNeed = { tokens: callsPerAllowance * callUsage.tokens, calls: callsPerAllowance * callUsage.calls, microCost: callsPerAllowance * callUsage.microCost }
-  return local.addUsage(openUsage, computeMinUsage(computeMaxUsage(likeNeed, computeTypicalAllowance(cfg, program.state.start)), computeFraction(remaining)))
+  const scaledUsage = { tokens: callsPerAllowance * callUsage.tokens, calls: callsPerAllowance * callUsage.calls, microCost: callsPerAllowance * callUsage.microCost }
+  return local.addUsage(openUsage, computeMinUsage(computeMaxUsage(scaledUsage, computeTypicalAllowance(cfg, program.state.start)), computeFraction(remaining)))
 }
 
 /** Usage of `callsPerAllowance` calls with typical prompts and the kind's maximum answer, at the highest token price. */
--- a/packages/programs/program-home/src/journal-writer.test.ts
+++ b/packages/programs/program-home/src/journal-writer.test.ts
@@ -42,7 +42,7 @@
   world.outcomes = ['late']
   const written = journalWriter.appendUntilResolved({ journal: world.journal, timers }, world.program, intent)
   await timers.advanceAsync(10)
-  world.land(world.appended[0]!)
+  world.storeRecord(world.appended[0]!)
   t.match(await advanceUntilSettled(timers, written), { ok: true, value: 11 })
   t.equal(world.program.state.n, 2)
 })
--- a/packages/programs/program-home/src/test-journal.ts
+++ b/packages/programs/program-home/src/test-journal.ts
@@ -8,9 +8,9 @@
 
 /**
  * Outcome of one append: `lost` is stored but not acknowledged; `unread` likewise, but applied only when `readHead` is
- * called; `late` is stored only by `land`; `refused` is not stored.
+ * called; `late` is stored only by `storeRecord`; `refused` is not stored.
  */
-export type AppendOutcome = 'ok' | 'lost' | 'unread' | 'late' | 'refused'
+export type ScriptedOutcome = 'ok' | 'lost' | 'unread' | 'late' | 'refused'
 
 export const home: types.ProcessRef = { host: 'h' as types.HostId, incarnation: 'h1' as types.Incarnation }
 export const client = 'c' as types.ClientId
@@ -21,14 +21,14 @@
 /** Follows the contract of `Journal.append`: appending the same record again returns the outcome of its first copy. */
 export class TestJournal {
   /** Outcomes of the next appends, in order. */
-  outcomes: AppendOutcome[] = []
+  outcomes: ScriptedOutcome[] = []
   /** Outcome of all further appends. */
-  defaultOutcome: AppendOutcome = 'ok'
+  defaultOutcome: ScriptedOutcome = 'ok'
   readonly appended: types.JournalRecord[] = []
   readonly program: local.LocalProgram
   private readonly view: programState.ProgramView
-  private readonly unread: types.JournalRecord[] = []
-  private readonly landed = new Map<string, AppendAnswer>()
+  private readonly unreadRecords: types.JournalRecord[] = []
+  private readonly storedAnswers = new Map<string, AppendAnswer>()
   private position = 10
 
   constructor (program: types.ProgramId, budget: types.Budget = { tokens: 100_000, calls: 100, microCost: 500_000, wallMs: 600_000 }) {
@@ -44,7 +44,7 @@
       append: async (record) => this.append(record),
       isAvailable: () => true,
       readHead: async () => {
-        for (const record of this.unread.splice(0)) this.land(record)
+        for (const record of this.unreadRecords.splice(0)) this.storeRecord(record)
         return errors.ok(this.program.state)
       },
       load: async () => errors.ok(this.program.state)
@@ -53,14 +53,14 @@
   }
 
   /** Stores and applies a record whose append was `late`. */
-  land (record: types.JournalRecord): AppendAnswer {
+  storeRecord (record: types.JournalRecord): AppendAnswer {
     const text = programState.encodeRecord(record)
-    const previousAnswer = this.landed.get(text)
+    const previousAnswer = this.storedAnswers.get(text)
     if (previousAnswer !== undefined) return previousAnswer
     this.position += 1
     const { effect } = programState.applyRecord(this.view, record, this.position as types.Term)
     const answer: AppendAnswer = errors.ok({ position: this.position as types.Term, applied: effect.type === 'applied', effect })
-    this.landed.set(text, answer)
+    this.storedAnswers.set(text, answer)
     return answer
   }
 
@@ -68,12 +68,12 @@
     const outcome = this.outcomes.shift() ?? this.defaultOutcome
     this.appended.push(record)
     switch (outcome) {
-      case 'ok': return this.land(record)
+      case 'ok': return this.storeRecord(record)
       case 'lost':
-        this.land(record)
+        this.storeRecord(record)
         return errors.fail(createLogUnavailableFailure('mayHaveRun'))
       case 'unread':
-        this.unread.push(record)
+        this.unreadRecords.push(record)
         return errors.fail(createLogUnavailableFailure('mayHaveRun'))
       case 'late': return errors.fail(createLogUnavailableFailure('mayHaveRun'))
       case 'refused': return errors.fail(createLogUnavailableFailure('notRun'))
