--- a/packages/programs/program-home/src/check-call.ts
+++ b/packages/programs/program-home/src/check-call.ts
@@ -50,7 +50,7 @@
 
 /** Failure for a call while an earlier call of its branch is missing or has not ended. */
 function createSequenceGapFailure (call: types.Call, expectedSeq: number): errors.Failure {
-  return { tag: 'sequenceGap', verdict: 'notRun', message: `branch ${call.branch} expects sequence number ${expectedSeq}`, expectedSeq }
+  return { tag: 'sequenceGap', verdict: 'notRun', message: `branch ${call.branch} expects ${expectedSeq}`, expectedSeq }
 }
 
 /**
@@ -70,7 +70,7 @@
 }
 
 function createKeyReusedFailure (call: types.Call): errors.Failure {
-  return { tag: 'keyReused', verdict: 'notRun', message: `request key ${call.key} was already used for a different request` }
+  return { tag: 'keyReused', verdict: 'notRun', message: `key ${call.key} was used for another request` }
 }
 
 /** Builds the result of a call from its recorded turn. */
